--- a/leases/lease_state.ts
+++ b/leases/lease_state.ts
@@ -1,27 +1,30 @@
-/** A lease as its holder knows it. */
+/** A lease as known to its holder. */
 export interface HeldLease {
-  /** Fencing token: the store's revision at the creation of the lease's key. */
+  /** Fencing token: the store's revision at which the lease's key was created. */
   readonly token: number;
   readonly leaseId: string;
-  /** When the last renewal that succeeded was asked for, on the holder's clock of elapsed time. */
+  /** When the last successful renewal was requested, on the holder's clock of elapsed time. */
   readonly renewedMs: number;
 }
 
-/** Lifetime of a lease. */
+/** Lifetime and safety margin of a lease. */
 export interface LeaseTerms {
   readonly ttlMs: number;
-  /** Part at the end in which the holder does not rely on it: clocks and pauses. */
+  /**
+   * Last part of the lifetime, in which the holder does not rely on the lease, to allow
+   * for clock differences and pauses.
+   */
   readonly marginMs: number;
 }
 
 /**
- * Whether a holder may still rely on its lease, for an act that takes effect
- * within a given time. Counted from when the renewal was asked for, so that the
- * holder stops before the store lets anyone else in.
+ * Returns whether a holder may still rely on its lease for an operation that takes
+ * effect within a given time. The lifetime counts from when the renewal was requested,
+ * so that the holder stops before the store grants the lease to another one.
  *
- * @param lease What is held; `undefined` for nothing.
+ * @param lease The lease that is held; `undefined`: none.
  * @param terms Lifetime and margin.
- * @param at Time now, and how long the act may take.
+ * @param at Current time, and how long the operation may take, in milliseconds.
  */
 export function isLeaseSafe(
   lease: HeldLease | undefined,
@@ -32,18 +35,18 @@
   return at.nowMs + at.actMs < lease.renewedMs + terms.ttlMs - terms.marginMs;
 }
 
-/** Why an order may not go out. */
+/** Whether an order may be sent now, or why it has to wait. */
 export type OrderDecision =
   | { readonly kind: "send" }
   | { readonly kind: "wait"; readonly reason: string };
 
 /**
- * Decides whether an order to an engine may go out. An engine that checks
- * fencing tokens refuses late orders itself; for one that does not, the order
- * goes out only inside the safe part of the lease, and one at a time.
+ * Decides whether an order may be sent to an engine, one at a time. An engine that
+ * checks fencing tokens refuses late orders itself. For one that does not, an order
+ * is sent only during the safe part of the lease.
  *
- * @param engine Whether it checks, and whether an order is in flight.
- * @param isSafe Whether the lease holds for as long as an order takes.
+ * @param engine Whether it checks fencing tokens, and whether an order is in flight.
+ * @param isSafe Whether the lease is safe for as long as an order takes.
  */
 export function decideOrder(
   engine: {
--- a/leases/mod.ts
+++ b/leases/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Leases with fencing tokens, and when an order may rely on them.
+ * Leases with fencing tokens, and the decision whether an order may rely on them.
  *
  * @example
  * ```ts
--- a/retry/mod.ts
+++ b/retry/mod.ts
@@ -1,5 +1,5 @@
 /**
- * When a failed attempt may be repeated.
+ * Decides when a failed attempt may be retried.
  *
  * @example
  * ```ts
