--- a/servers/mod.ts
+++ b/servers/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Backend servers that register themselves: who is there, who leaves, who is
+ * Backend servers that register themselves: which ones are registered, draining or
  * cold, and which failure domains are evacuated.
  *
  * @example
--- a/servers/server_registry.ts
+++ b/servers/server_registry.ts
@@ -1,57 +1,56 @@
 import type { BackendId, FailureDomainId, RegionId } from "../ids/mod.ts";
 
-/** One backend server as it registered itself. */
+/** A backend server as it registered itself. */
 export interface RegisteredServer {
-  /**
-   * Names one start of the server: what is learned of it holds for no other one.
-   */
+  /** Identifies one start of the server: what is learned of it holds for no other start. */
   readonly id: BackendId;
-  /** What it calls itself, and answers to; another start may have the same name. */
+  /** Name that the server registers and that calls carry; its next start may have the same name. */
   readonly name: string;
-  /** When it started, in milliseconds since the epoch on its own clock, where it says so. */
+  /** When it started, in milliseconds since the epoch on its own clock, if it reports it. */
   readonly startedMs: number | undefined;
   readonly service: string;
   /** IP address and port. */
   readonly address: string;
   readonly failureDomain: FailureDomainId;
   readonly region: RegionId;
-  /** Calls that it works on at a time. */
+  /** Maximum number of calls that it works on at a time. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How long it stays cold, counted from when the entry was read, in milliseconds. */
+  /** How long it stays cold from when the entry is read, in milliseconds. */
   readonly coldForMs: number;
-  /** Counts the writes of this start; what it wrote first may be read last. */
+  /** Counts the entries written by this start: an earlier one may be read after a later one. */
   readonly sequence: number;
 }
 
-/** A registered server with what this instance has learned of its entry. */
+/** A registered server with what this instance has learned of it. */
 export interface KnownServer {
   readonly entry: RegisteredServer;
-  /** Until when it is taken as cold, on the own clock. */
+  /** Until when it counts as cold, on this instance's clock, in milliseconds. */
   readonly coldUntilMs: number;
-  /** Whether it has said in an answer that it leaves. */
-  readonly saysItLeaves: boolean;
+  /** Whether it has announced in an answer that it is shutting down. */
+  readonly hasAnnouncedLeaving: boolean;
 }
 
-/** Optional parts of a registry. */
+/** Options of a registry. */
 export interface ServerRegistryOptions {
-  /** How long a server is cold after its start, by service. Default: never. */
+  /** Returns how long servers of a service are cold after a start, in milliseconds. Default: 0. */
   readonly readWarmUpMs?: (service: string) => number;
 }
 
 /**
- * The backend servers that may get calls: those registered, without those that
- * drain, by their entry or their own word, or whose failure domain is evacuated.
+ * Registered backend servers, and which of them may get calls: not those that are
+ * draining, according to their entry or an answer of theirs, and not those whose failure
+ * domain is evacuated.
  */
 export class ServerRegistry {
   readonly #servers = new Map<BackendId, KnownServer>();
   readonly #evacuated = new Set<FailureDomainId>();
-  /** Servers that a full read no longer listed, and until when they are kept. */
+  /** Servers that a full read no longer listed, and until when they are retained. */
   readonly #missingUntilMs = new Map<BackendId, number>();
   readonly #readWarmUpMs: (service: string) => number;
-  #usable: ReadonlyMap<string, readonly KnownServer[]> = new Map();
+  #usablePools: ReadonlyMap<string, readonly KnownServer[]> = new Map();
 
-  /** @param options What else decides on cold servers. */
+  /** @param options Warm-up times of the services. */
   constructor(options: ServerRegistryOptions = {}) {
     this.#readWarmUpMs = options.readWarmUpMs ?? (() => 0);
   }
@@ -61,54 +60,55 @@
     return [...this.#servers.values()];
   }
 
-  /** Failure domains that get nothing at present. */
+  /** Failure domains whose servers get no calls at present. */
   get evacuated(): ReadonlySet<FailureDomainId> {
     return this.#evacuated;
   }
 
-  /** Returns a registered server, also one that gets no calls. */
+  /** Returns a registered server, whether it may get calls or not. */
   find(id: BackendId): KnownServer | undefined {
     return this.#servers.get(id);
   }
 
   /** Returns the servers of a service that may get calls in a region. */
   listUsable(service: string, region: RegionId): readonly KnownServer[] {
-    return this.#usable.get(toPoolKey(service, region)) ?? [];
+    return this.#usablePools.get(toPoolKey(service, region)) ?? [];
   }
 
-  /** Whether a server may get new calls. */
+  /** Returns whether a server may get new calls. */
   isUsable(id: BackendId): boolean {
     const known = this.#servers.get(id);
     return known !== undefined && !known.entry.isDraining &&
-      !known.saysItLeaves &&
+      !known.hasAnnouncedLeaving &&
       !this.#evacuated.has(known.entry.failureDomain);
   }
 
   /**
-   * Takes a new or changed entry.
+   * Adds or updates a server from its entry.
    *
-   * @param entry As registered.
-   * @param nowMs Time now.
+   * @param entry The server as it registered itself.
+   * @param nowMs Current time, in milliseconds.
    */
   put(entry: RegisteredServer, nowMs: number): void {
     this.#putOne(entry, nowMs);
-    this.#refresh();
+    this.#refreshPools();
   }
 
   /** Removes a server whose entry was deleted. */
   remove(id: BackendId): void {
     this.#servers.delete(id);
     this.#missingUntilMs.delete(id);
-    this.#refresh();
+    this.#refreshPools();
   }
 
   /**
-   * Takes a full list. Who is missing from it is gone, at once or after a
-   * grace: entries that lapsed while the store was away come back.
+   * Replaces all servers by a full list. Servers missing from it are removed at once
+   * or after a grace period, in which entries that expired during an outage of the
+   * store come back.
    *
    * @param entries All registered servers.
-   * @param nowMs Time now.
-   * @param graceMs How long missing servers are kept, in milliseconds.
+   * @param nowMs Current time, in milliseconds.
+   * @param graceMs How long missing servers are retained, in milliseconds.
    */
   replaceAll(
     entries: readonly RegisteredServer[],
@@ -124,28 +124,28 @@
           this.#missingUntilMs.set(id, nowMs + graceMs);
         }
       });
-    this.#refresh();
+    this.#refreshPools();
   }
 
-  /** Removes the servers whose grace after a full list is over. */
+  /** Removes and returns the missing servers whose grace period is over. */
   dropMissing(nowMs: number): readonly BackendId[] {
-    const gone = [...this.#missingUntilMs]
+    const expired = [...this.#missingUntilMs]
       .filter(([, untilMs]) => nowMs >= untilMs)
       .map(([id]) => id);
-    gone.forEach((id) => {
+    expired.forEach((id) => {
       this.#missingUntilMs.delete(id);
       this.#servers.delete(id);
     });
-    if (gone.length > 0) this.#refresh();
-    return gone;
+    if (expired.length > 0) this.#refreshPools();
+    return expired;
   }
 
   /**
-   * Sets the failure domains that get nothing. The servers of one that is taken
-   * back are cold.
+   * Sets the failure domains whose servers get no calls. The servers of a domain that
+   * is no longer evacuated count as cold for their warm-up time.
    *
-   * @param domains All that are evacuated now.
-   * @param nowMs Time now.
+   * @param domains All domains that are evacuated now.
+   * @param nowMs Current time, in milliseconds.
    */
   setEvacuated(domains: readonly FailureDomainId[], nowMs: number): void {
     const returned = [...this.#evacuated].filter((domain) =>
@@ -162,36 +162,36 @@
         coldUntilMs: Math.max(coldUntilMs, nowMs + warmUpMs),
       });
     });
-    this.#refresh();
+    this.#refreshPools();
   }
 
-  /** Records that a server says of itself that it is cold. */
+  /** Records that a server reported that it is cold until a time, in milliseconds. */
   markCold(id: BackendId, untilMs: number): void {
     const known = this.#servers.get(id);
     if (known === undefined || known.coldUntilMs >= untilMs) return;
     this.#servers.set(id, { ...known, coldUntilMs: untilMs });
-    this.#refresh();
+    this.#refreshPools();
   }
 
   /**
-   * Records that a server says in an answer that it leaves: its entry says so only
-   * once the store has taken that in, which may be down. The word holds until the
-   * entry says that it leaves no more.
+   * Records that a server announced in an answer that it is shutting down. Its entry
+   * shows that only once the server could write it to the store, which may be down. The
+   * announcement holds until the entry was draining and is no longer.
    *
-   * @returns Whether that is news.
+   * @returns Whether that was not known yet.
    */
   markLeaving(id: BackendId): boolean {
     const known = this.#servers.get(id);
-    if (known === undefined || known.saysItLeaves) return false;
-    this.#servers.set(id, { ...known, saysItLeaves: true });
-    this.#refresh();
+    if (known === undefined || known.hasAnnouncedLeaving) return false;
+    this.#servers.set(id, { ...known, hasAnnouncedLeaving: true });
+    this.#refreshPools();
     return true;
   }
 
   #putOne(entry: RegisteredServer, nowMs: number): void {
     const known = this.#servers.get(entry.id);
     this.#missingUntilMs.delete(entry.id);
-    // The time that an entry says is left counts from when it was first read.
+    // The cold time of an entry counts from when the entry was first read.
     if (known?.entry === entry) return;
     const isBack = known?.entry.isDraining === true && !entry.isDraining;
     const before = known?.coldUntilMs ?? 0;
@@ -199,11 +199,11 @@
     this.#servers.set(entry.id, {
       entry,
       coldUntilMs: Math.max(before, coldUntilMs),
-      saysItLeaves: (known?.saysItLeaves ?? false) && !isBack,
+      hasAnnouncedLeaving: (known?.hasAnnouncedLeaving ?? false) && !isBack,
     });
   }
 
-  #refresh(): void {
+  #refreshPools(): void {
     const pools = new Map<string, KnownServer[]>();
     this.#servers.forEach((known, id) => {
       if (!this.isUsable(id)) return;
@@ -212,7 +212,7 @@
       if (pool === undefined) pools.set(key, [known]);
       else pool.push(known);
     });
-    this.#usable = pools;
+    this.#usablePools = pools;
   }
 }
 
--- a/servers/server_registry_test.ts
+++ b/servers/server_registry_test.ts
@@ -6,24 +6,24 @@
 
 const ENTRY = createServerEntry("s1");
 
-function start() {
+function createRegistry() {
   const registry = new ServerRegistry();
   registry.put(ENTRY, 0);
   return registry;
 }
 
 describe("ServerRegistry", () => {
-  describe("when a server says in an answer that it leaves", () => {
-    it("offers it no more, and says once that this is news", () => {
-      const registry = start();
+  describe("when a server announces in an answer that it is shutting down", () => {
+    it("lists it no more, and returns true only the first time", () => {
+      const registry = createRegistry();
       assert.ok(registry.markLeaving(ENTRY.id));
       assert.ok(!registry.markLeaving(ENTRY.id));
       assert.ok(!registry.isUsable(ENTRY.id));
       assert.deepEqual(registry.listUsable("app", toRegionId("north")), []);
     });
 
-    it("keeps to that where its entry says something else of it", () => {
-      const registry = start();
+    it("keeps it out of use when its entry changes otherwise", () => {
+      const registry = createRegistry();
       registry.markLeaving(ENTRY.id);
       registry.put({ ...ENTRY, coldForMs: 500 }, 10);
       registry.markCold(ENTRY.id, 5_000);
@@ -31,8 +31,8 @@
       assert.ok(!registry.isUsable(ENTRY.id));
     });
 
-    it("offers it again once its entry says that it left and came back", () => {
-      const registry = start();
+    it("lists it again once its entry was draining and no longer is", () => {
+      const registry = createRegistry();
       registry.markLeaving(ENTRY.id);
       registry.put({ ...ENTRY, isDraining: true }, 10);
       assert.ok(!registry.isUsable(ENTRY.id));
@@ -40,8 +40,8 @@
       assert.ok(registry.isUsable(ENTRY.id));
     });
 
-    it("offers the next start of it", () => {
-      const registry = start();
+    it("lists the next start of the server", () => {
+      const registry = createRegistry();
       registry.markLeaving(ENTRY.id);
       registry.remove(ENTRY.id);
       registry.put({ ...ENTRY }, 10);
@@ -49,7 +49,7 @@
     });
   });
 
-  it("knows nothing of a server that is not registered", () => {
+  it("ignores the announcement of a server that is not registered", () => {
     assert.ok(!new ServerRegistry().markLeaving(ENTRY.id));
   });
 });
