--- a/admission/admission_queue.ts
+++ b/admission/admission_queue.ts
@@ -4,35 +4,35 @@
 import { createFailure, type Failure } from "../results/mod.ts";
 import { PRIORITIES, type Priority } from "./priority.ts";
 
-/** A request that asks to be let in. */
+/** A request for admission of a call. */
 export interface AdmissionRequest {
   readonly team: TeamId;
   readonly priority: Priority;
-  /** When its answer is due, in milliseconds since the epoch. */
+  /** Deadline of the answer, in milliseconds since the epoch. */
   readonly dueMs: number;
-  /** How long the work is estimated to take, in milliseconds. */
+  /** Estimated duration of the work, in milliseconds. */
   readonly workMs: number;
-  /** The caller went away. */
+  /** Aborts when the caller has disconnected. */
   readonly signal: AbortSignal;
 }
 
-/** Why a request was not let in. */
+/** Success if the request was admitted, otherwise the reason for its refusal. */
 export type AdmissionResult = Result<void, Failure>;
 
-/** What a queue is created from. */
+/** Constructor arguments of {@linkcode AdmissionQueue}. */
 export interface AdmissionParts {
   readonly clock: Clock;
-  /** Whether a request of a class could start now. */
+  /** Returns whether there is capacity to start a request of a class now. */
   readonly hasRoom: (priority: Priority) => boolean;
-  /** Called for each request that is let in, before the next one is looked at. */
+  /** Called for each admitted request, before the next one is considered. */
   readonly recordStart: (priority: Priority) => void;
 }
 
-/** Optional parts of a queue. */
+/** Options of {@linkcode AdmissionQueue}. */
 export interface AdmissionOptions {
-  /** Most requests that wait. Default: 1,000. */
+  /** Maximum number of waiting requests. Default: 1,000. */
   readonly maxLength?: number;
-  /** Longest wait of an interactive request, in milliseconds. Default: 2,000. */
+  /** Maximum wait of an interactive request, in milliseconds. Default: 2,000. */
   readonly maxInteractiveWaitMs?: number;
 }
 
@@ -50,12 +50,13 @@
 const RETRY_FLOOR_MS = 100;
 
 /**
- * Lets requests in while there is room, and queues the others: higher classes
- * first, inside a class the team that had least lately, inside a team by
- * deadline. What cannot be done in time is refused at once.
+ * Admits requests while there is capacity, and queues the others: higher classes
+ * first, within a class the team with the fewest recent admissions, within a
+ * team the earliest deadline. Requests that cannot complete in time are refused
+ * at once.
  */
 export class AdmissionQueue {
-  /** Requests that were refused, by reason. */
+  /** Number of refused requests, by reason. */
   readonly refused = { overloaded: 0, late: 0, shed: 0 };
   readonly #parts: AdmissionParts;
   readonly #maxLength: number;
@@ -69,8 +70,8 @@
   #isSweeping = false;
 
   /**
-   * @param parts Clock and room.
-   * @param options Bounds.
+   * @param parts Clock and capacity.
+   * @param options Bounds of the queue.
    */
   constructor(parts: AdmissionParts, options: AdmissionOptions = {}) {
     this.#parts = parts;
@@ -79,7 +80,7 @@
       DEFAULT_INTERACTIVE_WAIT_MS;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get length(): number {
     return PRIORITIES.reduce(
       (sum, priority) => sum + this.#read(priority).length,
@@ -88,10 +89,10 @@
   }
 
   /**
-   * Resolves when the request may start, or with the reason why not. The caller
-   * calls {@linkcode wake} when room may have come free.
+   * Resolves when the request may start, or with the reason for its refusal. The
+   * owner of the queue calls {@linkcode wake} when capacity may have become free.
    *
-   * @param request Who asks, how urgent, until when.
+   * @param request Team, class, deadline and estimated duration of the call.
    */
   admit(request: AdmissionRequest): Promise<AdmissionResult> {
     const nowMs = this.#parts.clock.nowMs();
@@ -111,7 +112,7 @@
     return new Promise((resolve) => this.#enqueue(request, resolve));
   }
 
-  /** Starts whatever may start now. */
+  /** Refuses requests that can no longer complete in time, and admits others up to the capacity. */
   wake(): void {
     const nowMs = this.#parts.clock.nowMs();
     this.#dropLate(nowMs);
@@ -161,8 +162,8 @@
   }
 
   /**
-   * Makes room for a team that has less than its part of a full queue: the
-   * newest waiting request of the team that has most is refused in its place.
+   * Makes room for a team with less than its share of a full queue by refusing
+   * the newest waiting request of the team that has the most.
    */
   #makeRoomFor(request: AdmissionRequest): boolean {
     const queue = this.#read(request.priority);
@@ -182,7 +183,7 @@
     return true;
   }
 
-  /** Refuses the newest waiting request of a lower class, to make place. */
+  /** Makes room by refusing the newest request of the lowest waiting class below this one. */
   #shedBelow(priority: Priority): boolean {
     const lower = PRIORITIES.slice(PRIORITIES.indexOf(priority) + 1)
       .toReversed();
--- a/admission/admission_test.ts
+++ b/admission/admission_test.ts
@@ -40,14 +40,14 @@
 }
 
 describe("AdmissionQueue", () => {
-  it("lets in only as many as there is room for, at one wake", async () => {
+  it("admits no more requests than there is capacity for at one wake", async () => {
     const { ask, free, started } = createQueue(0);
     ["a", "b", "c"].forEach((name) => ask(name));
     await free(2);
     assert.deepEqual(started, ["a", "b"]);
   });
 
-  it("puts higher classes first, and the nearest deadline first inside one", async () => {
+  it("admits higher classes first, and the earliest deadline first within a class", async () => {
     const { clock, ask, free, started } = createQueue(0);
     ask("batch", { priority: "batch" });
     ask("late", { dueMs: clock.nowMs() + 9_000 });
@@ -56,7 +56,7 @@
     assert.deepEqual(started, ["soon", "late", "batch"]);
   });
 
-  it("takes turns between teams", async () => {
+  it("admits a request of another team before all requests of the first one", async () => {
     const { ask, free, started } = createQueue(0);
     ["a1", "a2", "a3"].forEach((name) => ask(name, { team: toTeamId("a") }));
     ask("b1", { team: toTeamId("b") });
@@ -64,14 +64,14 @@
     assert.ok(started.includes("b1"), `started: ${started}`);
   });
 
-  it("refuses at once what cannot end by its deadline", async () => {
+  it("refuses a request at once that cannot complete by its deadline", async () => {
     const { clock, ask, refused } = createQueue(1);
     ask("late", { dueMs: clock.nowMs() + 50 });
     await clock.advance(0);
     assert.deepEqual(refused, ["late DEADLINE_PASSED"]);
   });
 
-  it("drops what becomes late while it waits, at once and not at its deadline", async () => {
+  it("refuses a waiting request as soon as it cannot complete by its deadline", async () => {
     const { clock, ask, refused } = createQueue(0);
     ask("waits", { dueMs: clock.nowMs() + 500, workMs: 300 });
     await clock.advance(150);
@@ -80,7 +80,7 @@
     assert.deepEqual(refused, ["waits DEADLINE_PASSED"]);
   });
 
-  it("lets a caller that goes away leave", async () => {
+  it("removes a waiting request when its caller disconnects", async () => {
     const { clock, queue, ask, refused } = createQueue(0);
     const gone = new AbortController();
     ask("gone", { signal: gone.signal });
@@ -92,7 +92,7 @@
 });
 
 describe("BatchShare", () => {
-  it("shrinks when first tokens come near their aim, and grows back", () => {
+  it("shrinks when times to the first token approach their target, and grows back", () => {
     const share = new BatchShare();
     const start = share.share;
     Array.from({ length: 80 }).forEach((_, at) =>
@@ -111,7 +111,7 @@
   const team = toTeamId("team");
   const LIMIT = 90;
 
-  it("never lets the sum of rates pass the limit, with lost answers and any order", () => {
+  it("keeps the sum of rates within the limit with lost answers and in any order", () => {
     const step = fc.record({
       borrower: fc.nat(3),
       lender: fc.nat(3),
--- a/admission/batch_share.ts
+++ b/admission/batch_share.ts
@@ -1,6 +1,6 @@
-/** Optional parts of a batch share. */
+/** Options of {@linkcode BatchShare}. */
 export interface BatchShareOptions {
-  /** First tokens in a window. Default: 40. */
+  /** Number of measured times to the first token in a window. Default: 40. */
   readonly windowSize?: number;
 }
 
@@ -8,7 +8,7 @@
 const WINDOW_MS = 2_000;
 const LEAST_SHARE = 0.1;
 const START_SHARE = 0.6;
-/** Above this part of the aim the share shrinks, below the other it grows. */
+/** Fractions of the target above which the share shrinks, and below which it grows. */
 const SHRINK_ABOVE = 0.6;
 const GROW_BELOW = 0.4;
 const SHRINK_FACTOR = 0.75;
@@ -16,9 +16,9 @@
 const QUANTILE = 0.95;
 
 /**
- * The part of a pool that batch work may hold, steered by what interactive work
- * measures: it shrinks fast when first tokens come near their aim, and grows
- * slowly while they are far from it.
+ * Controls the share of a pool's capacity that batch work may use by the time to
+ * the first token of interactive calls. The share shrinks fast when that time
+ * approaches its target, and grows slowly while the time is far below it.
  */
 export class BatchShare {
   #share = START_SHARE;
@@ -26,12 +26,12 @@
   #windowStartMs = 0;
   readonly #windowSize: number;
 
-  /** @param options Size of the window. */
+  /** @param options Size of the measuring window. */
   constructor(options: BatchShareOptions = {}) {
     this.#windowSize = options.windowSize ?? DEFAULT_WINDOW;
   }
 
-  /** The share now, from 0.1 to 1. */
+  /** Current share, from 0.1 to 1. */
   get share(): number {
     return this.#share;
   }
@@ -39,9 +39,9 @@
   /**
    * Records the time to the first token of an interactive call.
    *
-   * @param firstTokenMs Measured, in milliseconds.
-   * @param aimMs The aim of the service.
-   * @param nowMs Time now.
+   * @param firstTokenMs Measured time, in milliseconds.
+   * @param aimMs Target of the service, in milliseconds.
+   * @param nowMs Current time, in milliseconds.
    */
   record(firstTokenMs: number, aimMs: number, nowMs: number): void {
     this.#window.push(firstTokenMs);
--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -2,35 +2,35 @@
 import type { RegionId, TeamId } from "../ids/mod.ts";
 import type { Team, TeamLimit } from "../teams/mod.ts";
 
-/** What a deployment bears beyond its teams' limits. */
+/** Usage beyond the limits of teams that a deployment tolerates. */
 export interface LimitBounds {
-  /** Span over which a limit is judged, in milliseconds. */
+  /** Length of the sliding window in which usage is compared with a limit, in milliseconds. */
   readonly windowMs: number;
-  /** Part of rate and burst that a span may hold beyond them. */
+  /** Fraction by which usage in a window may exceed what rate and burst grant. */
   readonly overshoot: number;
-  /** Units beside those. */
+  /** Units that a window may hold in addition. */
   readonly slack: number;
 }
 
-/** What a team uses and wants. */
+/** Usage and demand of a team. */
 export interface TeamUse {
-  /** Weight of what was admitted within the window. */
+  /** Total weight of the calls that were admitted within the window. */
   readonly used: number;
-  /** Weight of all that was asked for lately, each call fading with the time since. */
+  /** Total weight of all recent calls, admitted or not; each decays exponentially with its age. */
   readonly asked: number;
 }
 
-/** Use of a team, as it is told. */
+/** Usage of a team, as an instance reports it to others. */
 export interface ReportedUse extends TeamUse {
   readonly team: TeamId;
 }
 
-/** Use of a team in one region, without that of this instance. */
+/** Usage of a team in one region, excluding that of this instance. */
 export interface RegionUse extends TeamUse {
   readonly region: RegionId;
 }
 
-/** How many instances of a region are known, and how many of them are heard. */
+/** Number of known instances of a region, and of those whose reports arrive. */
 export interface RegionCount {
   readonly region: RegionId;
   /** This instance included. */
@@ -38,80 +38,89 @@
   readonly heard: number;
 }
 
-/** Whether a call is within its team's limit. */
+/** Decision on whether a call is within the limit of its team. */
 export type LimitVerdict =
   | { readonly kind: "admitted" }
   | {
     readonly kind: "refused";
-    /** When to come back, in milliseconds; `undefined`: the limit never carries it. */
+    /** Time after which to retry, in milliseconds; `undefined`: the limit never admits it. */
     readonly retryAfterMs: number | undefined;
-    /** What decided it, for the log. */
+    /** Values that the decision is based on, for the log. */
     readonly inputs: Readonly<Record<string, number>>;
   };
 
-/** What limits are created from. */
+/** Constructor arguments of {@linkcode FleetLimits}. */
 export interface FleetLimitsParts {
   readonly ownRegion: RegionId;
-  /** When this process started, on the own clock. */
+  /** When this process started, by its own clock, in milliseconds. */
   readonly startedMs: number;
   readonly random: Random;
   readonly bounds: LimitBounds;
-  /** Returns what the other instances say of a team, the region of this one among them. */
+  /** Returns what other instances report of a team's usage, by region, the own region included. */
   readonly readOthers: (team: TeamId) => readonly RegionUse[];
 }
 
-/** Part of the window in which demand fades to a third: short enough to follow it. */
+/**
+ * Fraction of the window in which demand decays to about a third. It is short enough for
+ * the value to follow changes of the demand.
+ */
 const FADE_PART = 1 / 5;
-/** Windows are counted in twenty parts, the newest of which is not over: one more is counted. */
+/**
+ * Length of the sliding count, in windows. A window is counted in twenty buckets, the
+ * newest of which is incomplete, so the count covers one bucket more.
+ */
 const COUNTED_WINDOWS = 1 + 1 / 20;
 /**
- * Part of what the bounds allow beyond rate and burst that is planned with. The rest
- * is for what is admitted between two reports.
+ * Fraction of the tolerated excess over rate and burst that the budget includes. The rest
+ * covers calls that are admitted between two reports.
  */
 const PLANNED_EXCESS = 0.2;
-/** Time for which others may admit before it is known here, in milliseconds. */
+/** Time for which others may admit calls before this instance learns of them, in milliseconds. */
 const UNSEEN_MS = 1_200;
-/** Least and most part of a budget at the end of which only some calls are admitted. */
+/** Minimum and maximum fraction, at the end of a budget, in which only some calls are admitted. */
 const LEAST_TAPERED = 0.03;
 const MOST_TAPERED = 0.6;
 /**
- * Part of the limit's rate that is admitted for a second or two, at the most. A team far
- * over its limit is slowed down evenly, in place of using up a window and waiting for
- * the next.
+ * Maximum rate that is admitted for a second or two, as a multiple of the rate of the
+ * limit. A team that is far over its limit is slowed down evenly instead of using up a
+ * window and waiting for the next one.
  */
 const RUSH_PART = 1.35;
-/** Part of an equal share of the budget that a process counts as used before its start. */
+/** Fraction of an equal share of the budget that a process assumes was used before its start. */
 const FORGOTTEN_PART = 0.9;
-/** Windows in which that fades: not all of it was spread evenly over one. */
+/**
+ * Number of windows over which this assumed usage declines to zero. One window is too
+ * short, since the usage need not have been spread evenly over it.
+ */
 const FORGOTTEN_WINDOWS = 1.25;
-/** Part of an equal share of a budget below which an instance says nothing of a team. */
+/** Fraction of an equal share of the budget below which an instance does not report a team. */
 const TOLD_PART = 0.02;
-/** Part of the budget that counts as equal demand of all instances, beside what they ask. */
+/** Fraction of the budget that is added to the demand, in equal parts for all instances. */
 const EVEN_PART = 0.02;
-/** Time for which a count of who is heard holds, in milliseconds: four reports. */
+/** Validity of the counts of reporting instances, in milliseconds: four report intervals. */
 const COUNT_VALID_MS = 600;
-/** Shortest time after which refused callers come back, in milliseconds. */
+/** Minimum time after which refused callers retry, in milliseconds. */
 const LEAST_RETRY_MS = 150;
-/** What is added to it where hardly any call is admitted. */
+/** Time that is added to the minimum where hardly any call is admitted, in milliseconds. */
 const ADDED_RETRY_MS = 1_000;
 
 interface Bucket {
   readonly used: SlidingCount;
   asked: number;
-  /** To when it has faded. */
+  /** Time up to which the decay of `asked` is applied, in milliseconds. */
   askedMs: number;
-  /** Of the configuration in force. */
+  /** Limit in the configuration in force. */
   limit: TeamLimit;
-  /** Part of each region in the demand, as it was when all instances were heard. */
+  /** Fraction of the demand in each region when the reports of all instances last arrived. */
   parts: ReadonlyMap<RegionId, number> | undefined;
 }
 
 /**
- * Limits of teams over all instances, with nobody in charge: each instance tells what
- * it has admitted lately, and admits against the sum that it hears. What it guards:
- * the weight that all instances let run in any window, also where they are cut off
- * from each other, start at once, or stand still; and that long calls of a team are
- * admitted as often as short ones.
+ * Enforces the limits of teams over all instances without a coordinator: each instance
+ * reports what it has admitted lately, and admits calls against the sum of all reports.
+ * The weight that all instances admit in any window stays bounded, also when instances
+ * are partitioned from each other, start at the same time, or stall. Long calls of a
+ * team are admitted as often as short ones.
  */
 export class FleetLimits {
   readonly #parts: FleetLimitsParts;
@@ -121,7 +130,7 @@
   #known = 1;
   #countedMs = Number.NEGATIVE_INFINITY;
 
-  /** @param parts Bounds, and what others say. */
+  /** @param parts Bounds, random source, and access to the reports of other instances. */
   constructor(parts: FleetLimitsParts) {
     this.#parts = parts;
     this.#fadeMs = parts.bounds.windowMs * FADE_PART;
@@ -129,11 +138,11 @@
   }
 
   /**
-   * Takes who is heard.
+   * Sets the numbers of known and reporting instances.
    *
-   * @param counts Of each region, the own one included.
-   * @param named Instances that the store names.
-   * @param nowMs Time now.
+   * @param counts Counts of each region, including the own one.
+   * @param named Number of instances that the store lists.
+   * @param nowMs Current time, in milliseconds.
    */
   setCounts(
     counts: readonly RegionCount[],
@@ -146,11 +155,11 @@
   }
 
   /**
-   * Takes a call into its team's use, if the limit allows it.
+   * Admits a call and adds it to the usage of its team, if the limit allows it.
    *
-   * @param team Of the caller; one without a limit may do anything.
-   * @param weight What the call counts.
-   * @param nowMs Time now.
+   * @param team Team of the caller; all calls of a team without a limit are admitted.
+   * @param weight Units that the call counts.
+   * @param nowMs Current time, in milliseconds.
    */
   admit(team: Team, weight: number, nowMs: number): LimitVerdict {
     const { limit } = team;
@@ -164,8 +173,9 @@
       sumOf(others, (use) => use.used);
     const asked = bucket.asked + sumOf(others, (use) => use.asked);
     bucket.asked += weight;
-    // Whoever does not hear all others may use little, which one call may exceed many
-    // times: there it takes its chance by its weight.
+    // An instance that lacks reports of others may use only a small part of the budget,
+    // and one call may weigh many times as much. Such a call is admitted with a
+    // probability that falls with its weight.
     const left = mayUse - used;
     const chance = Math.min(
       this.#computeChance(left, asked, mayUse),
@@ -184,7 +194,7 @@
     };
   }
 
-  /** Gives back what a call counted that did not run. */
+  /** Refunds the weight of an admitted call that did not run. */
   giveBack(
     team: TeamId,
     weight: number,
@@ -201,7 +211,7 @@
     }
   }
 
-  /** Returns what others have to know: use of teams that are not far below their limit. */
+  /** Returns the usage to report to others: that of teams that are not far below their limit. */
   listOwn(nowMs: number): readonly ReportedUse[] {
     return [...this.#buckets].flatMap(([team, bucket]) => {
       this.#fade(bucket, nowMs);
@@ -213,7 +223,7 @@
     });
   }
 
-  /** Forgets teams that are gone. */
+  /** Removes the state of all teams but these. */
   keepOnly(teams: ReadonlySet<TeamId>): void {
     [...this.#buckets.keys()].filter((team) => !teams.has(team))
       .forEach((team) => this.#buckets.delete(team));
@@ -243,8 +253,9 @@
   }
 
   /**
-   * What ran here before this process started is not known: without it, all that start
-   * at once would have a whole window each.
+   * Returns the usage that is assumed from before this process started, since the actual
+   * usage is unknown. Without it, instances that start at the same time would have a
+   * whole window each.
    */
   #readForgotten(limit: TeamLimit, nowMs: number): number {
     const { bounds: { windowMs }, startedMs } = this.#parts;
@@ -254,13 +265,13 @@
     return FORGOTTEN_PART * share * (1 - passed);
   }
 
-  /** What was asked for before is not known either: as much as the limit grants. */
+  /** Returns the demand that is assumed from before the start: as much as the limit grants. */
   #computeForgottenDemand({ perSecond }: TeamLimit, nowMs: number): number {
     const granted = perSecond * this.#fadeMs / 1_000 / this.#known;
     return granted * this.#computeFading(nowMs - this.#parts.startedMs);
   }
 
-  /** Counts begin at 0 before anything that is counted. */
+  /** Converts a time to one of the sliding count, which starts at 0, before all counted calls. */
   #toCounted(nowMs: number): number {
     const { bounds: { windowMs }, startedMs } = this.#parts;
     return nowMs - startedMs + 2 * windowMs;
@@ -276,14 +287,14 @@
     return Math.exp(-Math.max(0, elapsedMs) / this.#fadeMs);
   }
 
-  /** What may run in one window, as far as it is planned with. */
+  /** Returns the planned weight that all instances together may admit in one window. */
   #computeBudget({ burst, perSecond }: TeamLimit): number {
     const { overshoot, slack, windowMs } = this.#parts.bounds;
     const granted = perSecond * windowMs / 1_000 + burst;
     return granted + PLANNED_EXCESS * (overshoot * granted + slack);
   }
 
-  /** What may be asked for at once, all instances together, before only a part is admitted. */
+  /** Returns the recent demand on all instances together beyond which only a part is admitted. */
   #computeRush({ perSecond }: TeamLimit): number {
     const { bounds: { slack } } = this.#parts;
     const rate = RUSH_PART * perSecond * this.#fadeMs / 1_000;
@@ -291,8 +302,8 @@
   }
 
   /**
-   * Returns the part of the calls that is admitted: all, until what others may admit
-   * unseen could pass the budget, and none at its end.
+   * Returns the probability with which a call is admitted: 1 until calls that others may
+   * have admitted without a report yet could exceed the budget, and 0 at its end.
    */
   #computeChance(left: number, asked: number, mayUse: number): number {
     if (left <= 0) return 0;
@@ -301,7 +312,7 @@
     return Math.min(1, left / (tapered * mayUse));
   }
 
-  /** Returns the part of the limit that those who are heard may use. */
+  /** Returns the fraction of the limit that the reporting instances may use together. */
   #readPart(
     bucket: Bucket,
     others: readonly RegionUse[],
@@ -324,7 +335,7 @@
     );
   }
 
-  /** Returns the part that each region has in the demand, its instances counted a little. */
+  /** Returns the fraction of the demand in each region; each instance adds a small constant. */
   #computeParts(
     bucket: Bucket,
     others: readonly RegionUse[],
@@ -346,8 +357,8 @@
   }
 
   /**
-   * Returns when to come back: later the fewer calls are admitted, and spread, so that
-   * those who come back are no wave.
+   * Returns the time after which to retry, in milliseconds: longer the fewer calls are
+   * admitted, and jittered, so that callers do not retry all at once.
    */
   #pickRetryMs(chance: number): number {
     const waitMs = LEAST_RETRY_MS + (1 - chance) * ADDED_RETRY_MS;
--- a/admission/fleet_limits_test.ts
+++ b/admission/fleet_limits_test.ts
@@ -13,7 +13,7 @@
   homeRegions: undefined,
   limit: { unit: "tokens", perSecond: 100, burst: 100, plainTokens: 1 },
 };
-/** Rate and burst of a window. */
+/** Units that rate and burst grant in one window. */
 const BUDGET = 900;
 const NOW_MS = 100_000;
 
@@ -34,7 +34,7 @@
   return limits;
 }
 
-/** Admits calls of one weight at one time, and returns what they weigh in all. */
+/** Admits calls of one weight at one time, and returns their total weight. */
 function admitMany(
   limits: FleetLimits,
   weight: number,
@@ -47,7 +47,7 @@
 }
 
 describe("FleetLimits", () => {
-  it("admits what others have left of a window, and nothing beyond", () => {
+  it("admits what other instances have left of a window, and no more", () => {
     const used = 600;
     const others = [{ region: SOUTH, used, asked: 0 }];
     const limits = createLimits({ others });
@@ -55,7 +55,7 @@
     assert.ok(admitted > 0 && admitted <= BUDGET - used, `${admitted}`);
   });
 
-  it("admits again as the window moves on", () => {
+  it("admits calls again after the window has moved on", () => {
     const limits = createLimits();
     admitMany(limits, 10);
     const laterMs = NOW_MS + 9_000;
@@ -63,7 +63,7 @@
     assert.ok(admitMany(limits, 10, laterMs) > 0);
   });
 
-  it("counts nothing for what did not run", () => {
+  it("refunds the weight of calls that did not run", () => {
     const limits = createLimits();
     const at = { admittedMs: NOW_MS, nowMs: NOW_MS };
     for (let call = 0; call < 100; call++) {
@@ -72,7 +72,7 @@
     }
   });
 
-  it("tells a call for good that the limit never carries", () => {
+  it("gives no retry time for a call that weighs more than the limit ever allows", () => {
     const verdict = createLimits().admit(TEAM, BUDGET + 1, NOW_MS);
     assert.equal(verdict.kind, "refused");
     assert.equal(
@@ -81,7 +81,7 @@
     );
   });
 
-  it("spreads when to come back", () => {
+  it("jitters the retry times of refused calls", () => {
     const limits = createLimits();
     admitMany(limits, 10);
     const times = Array.from({ length: 50 }, () => {
@@ -91,7 +91,7 @@
     assert.ok(new Set(times).size > 25);
   });
 
-  it("has little for one that has just started, among many that may have, too", () => {
+  it("assumes prior usage after a start, since other instances may have started too", () => {
     const limits = createLimits({ startedMs: NOW_MS });
     limits.setCounts([{ region: NORTH, known: 10, heard: 10 }], 10, NOW_MS);
     assert.ok(admitMany(limits, 1) <= BUDGET);
@@ -99,13 +99,13 @@
     assert.ok(told.used >= 0.9 * BUDGET / 10);
   });
 
-  it("has its own share alone while its picture of others is old", () => {
+  it("admits only its equal share while the counts of instances are outdated", () => {
     const limits = createLimits();
     limits.setCounts([{ region: NORTH, known: 10, heard: 10 }], 10, NOW_MS);
     assert.ok(admitMany(limits, 1, NOW_MS + 5_000) <= BUDGET / 10);
   });
 
-  it("has the part of its region where no other is heard", () => {
+  it("admits the fraction of its own region when no reports of other regions arrive", () => {
     const limits = createLimits({
       others: [{ region: SOUTH, used: 10, asked: 300 }],
     });
@@ -125,7 +125,7 @@
     assert.ok(admitted < BUDGET / 2, `${admitted}`);
   });
 
-  it("tells nothing of a team that is far below its limit", () => {
+  it("does not report a team that is far below its limit", () => {
     const limits = createLimits();
     limits.admit(TEAM, 10, NOW_MS);
     assert.deepEqual(limits.listOwn(NOW_MS), []);
--- a/admission/mod.ts
+++ b/admission/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Who may start work now: limits of teams, the queue, and the part of the
- * capacity that batch work may hold.
+ * Admission control: limits of teams, the queue of waiting requests, and the
+ * share of the capacity that batch work may use.
  *
  * @example
  * ```ts
--- a/admission/priority.ts
+++ b/admission/priority.ts
@@ -1,5 +1,5 @@
-/** Classes of requests, the most important first. */
+/** Priority classes of requests, in descending order. */
 export const PRIORITIES = ["interactive", "normal", "batch"] as const;
 
-/** Class of a request. */
+/** Priority class of a request. */
 export type Priority = (typeof PRIORITIES)[number];
--- a/admission/team_limits.ts
+++ b/admission/team_limits.ts
@@ -1,41 +1,41 @@
 import type { InstanceId, TeamId } from "../ids/mod.ts";
 
-/** A part of a team's limit that one instance lends another. */
+/** A part of a team's limit that one instance lends to another. */
 export interface RateLoan {
   readonly team: TeamId;
   /** Requests per second. */
   readonly rate: number;
-  /** Requests of the lender's burst that go with it. */
+  /** Requests of the lender's burst that are lent with the rate. */
   readonly tokens: number;
-  /** How long from when it was asked for, in milliseconds. */
+  /** Validity from the time of the borrow request, in milliseconds. */
   readonly lifetimeMs: number;
 }
 
-/** A wish to borrow. */
+/** A team's rate that an instance needs from others. */
 export interface BorrowWish {
   readonly team: TeamId;
   /** Requests per second. */
   readonly wanted: number;
 }
 
-/** How long a loan holds, in milliseconds. */
+/** Validity of a loan, in milliseconds. */
 export const LOAN_LIFETIME_MS = 2_000;
 const BURST_SECONDS = 1;
 const DEMAND_WINDOW_MS = 1_000;
 const DEMAND_MEMORY = 0.2;
 const LEND_MARGIN = 1.1;
-/** Part of its share, and of its burst, that a lender keeps for demand to come. */
+/** Fraction of its share, and requests of its burst, that a lender keeps for new demand. */
 const KEPT_SHARE = 0.06;
 const KEPT_TOKENS = 1;
 const LEAST_WISH = 0.05;
-/** A borrower asks for more than it needs now, so that growing demand finds room. */
+/** Factor by which a borrower asks for more than it needs now, to cover growing demand. */
 const BORROW_MARGIN = 1.5;
-/** Until the others have seen it, a new instance takes a part of its share. */
+/** Time until others know of a new instance, which uses a part of its share, in milliseconds. */
 export const SETTLE_MS = 4_000;
 const SETTLING_SHARE = 0.4;
 
 interface Loan {
-  /** The other instance. */
+  /** The other instance, lender or borrower. */
   readonly party: string;
   readonly rate: number;
   readonly expiresMs: number;
@@ -52,20 +52,21 @@
   borrowed: Loan[];
 }
 
-/** What limits are created from. */
+/** Constructor arguments of {@linkcode TeamLimits}. */
 export interface TeamLimitsParts {
   readonly startedMs: number;
   /** Share of a team's limit that this instance holds, from 0 to 1. */
   readonly readBaseShare: (team: TeamId) => number;
-  /** Whether others were there before this instance started. */
+  /** Whether other instances ran before this one started. */
   readonly isJoining: () => boolean;
 }
 
 /**
- * The limits of teams, shared over instances without the store. Each instance
- * holds a base share; what it does not need it lends for a short time to those
- * that do. A lender stops spending before the borrower starts, and the borrower
- * stops before the lender goes on, so that the sum never passes the limit.
+ * Shares the limits of teams over instances without the store. Each instance
+ * holds a base share, and lends what it does not need for a short time to
+ * instances that need more. A lender stops using a loan before the borrower
+ * starts, and the borrower stops before the lender resumes, so that the sum of
+ * all rates never exceeds the limit.
  */
 export class TeamLimits {
   readonly #parts: TeamLimitsParts;
@@ -77,13 +78,13 @@
   }
 
   /**
-   * Takes one request off a team's share.
+   * Admits a request against the share of its team, and counts it as demand.
    *
    * @param team Team of the caller.
-   * @param limit Its limit over all instances, in requests per second.
-   * @param nowMs Time now.
-   * @param weight What the request counts. Default: 1.
-   * @returns When to come back, or `undefined` if the request may go on.
+   * @param limit Limit of the team over all instances, in requests per second.
+   * @param nowMs Current time, in milliseconds.
+   * @param weight Number of requests that it counts as. Default: 1.
+   * @returns Time after which to retry, or `undefined` if the request is admitted.
    */
   admit(
     team: TeamId,
@@ -95,7 +96,7 @@
     return this.admitAgain(team, limit, nowMs, weight);
   }
 
-  /** As {@linkcode admit}, for a request whose demand is counted already. */
+  /** Does the same as {@linkcode admit} for a request that is already counted as demand. */
   admitAgain(
     team: TeamId,
     limit: number,
@@ -118,7 +119,7 @@
     };
   }
 
-  /** Returns the teams that need more than their share here, and how much in all. */
+  /** Returns the teams that need more than their share here, with the total rate to borrow. */
   decideBorrow(nowMs: number): readonly BorrowWish[] {
     return [...this.#buckets]
       .map(([team, bucket]) => {
@@ -130,7 +131,7 @@
       .filter(({ wanted }) => wanted > LEAST_WISH);
   }
 
-  /** Returns what an instance has lent to this one, and still holds for a while. */
+  /** Returns the rate of a valid loan from a lender, in requests per second, or 0. */
   readBorrowed(team: TeamId, lender: string, nowMs: number): number {
     const loans = this.#buckets.get(team)?.borrowed ?? [];
     return loans.find(({ party, expiresMs }) =>
@@ -139,12 +140,12 @@
   }
 
   /**
-   * Lends what is spare. A loan to the same borrower is replaced, so that it
-   * can be prolonged; it does not shrink before it ends.
+   * Lends unused rate to another instance. It replaces an earlier loan to the
+   * same borrower, which renews that loan; a loan never shrinks before it expires.
    *
-   * @param wish What another instance wants of this one, in all.
-   * @param limit The team's limit.
-   * @param nowMs Time now.
+   * @param wish Total rate that the borrower requests of this instance.
+   * @param limit Limit of the team over all instances, in requests per second.
+   * @param nowMs Current time, in milliseconds.
    */
   lend(wish: BorrowRequest, limit: number, nowMs: number): RateLoan {
     const bucket = this.#readBucket(wish.team, limit, nowMs);
@@ -164,13 +165,13 @@
       tokens: 0,
       lifetimeMs: LOAN_LIFETIME_MS,
     };
-    // A loan that is no longer spare runs out; it is not prolonged.
+    // A loan whose rate is no longer unused here is not renewed, and expires.
     if (rate <= 0 || spare < known) return refusal;
     bucket.lent = [
       ...bucket.lent.filter(({ party }) => party !== wish.from),
       { party: wish.from, rate, expiresMs: nowMs + LOAN_LIFETIME_MS },
     ];
-    // Tokens move with the rate: their sum over all instances stays the same.
+    // Tokens move with the rate, so that their sum over all instances stays the same.
     const tokens = Math.max(0, bucket.tokens - KEPT_TOKENS) *
       Math.min(1, (rate - known) / own);
     bucket.tokens -= tokens;
@@ -180,9 +181,9 @@
   /**
    * Records a loan that another instance granted.
    *
-   * @param lender Who granted it.
-   * @param loan What was granted.
-   * @param at When it was asked for, and now.
+   * @param lender Id of the lender.
+   * @param loan Loan as granted.
+   * @param at Time of the borrow request and current time, in milliseconds.
    */
   recordLoan(
     lender: string,
@@ -207,7 +208,7 @@
     bucket.tokens += loan.tokens;
   }
 
-  /** Returns what may be spent here now, in requests per second. */
+  /** Returns the rate that this instance may admit now, in requests per second. */
   readRate(team: TeamId, nowMs: number): number {
     const bucket = this.#buckets.get(team);
     return bucket === undefined ? 0 : this.#computeRate(team, bucket, nowMs);
@@ -249,7 +250,7 @@
     return own + sumRates(bucket.borrowed);
   }
 
-  /** The base share, less what is lent. */
+  /** Returns the base share less the rates that are lent, in requests per second. */
   #computeOwn(team: TeamId, bucket: TeamBucket, nowMs: number): number {
     bucket.lent = bucket.lent.filter(({ expiresMs }) => expiresMs > nowMs);
     return Math.max(
@@ -291,7 +292,7 @@
   return loans.reduce((sum, { rate }) => sum + rate, 0);
 }
 
-/** Who borrows from whom. */
+/** A request of an instance to borrow from another one. */
 export interface BorrowRequest extends BorrowWish {
   readonly from: InstanceId;
 }
