--- a/store/circuit.ts
+++ b/store/circuit.ts
@@ -1,6 +1,6 @@
 import type { Random } from "../clock/mod.ts";
 
-/** State of a circuit. */
+/** State of a circuit breaker. */
 export type CircuitState =
   | { readonly kind: "closed"; readonly failures: number }
   | {
@@ -10,7 +10,7 @@
   }
   | { readonly kind: "half-open"; readonly tries: number };
 
-/** What a circuit learns from. */
+/** Outcome of a call through a circuit breaker. */
 export type CircuitEvent =
   | { readonly kind: "succeeded" }
   | { readonly kind: "failed"; readonly nowMs: number };
@@ -19,16 +19,16 @@
 const FIRST_PAUSE_MS = 200;
 const LONGEST_PAUSE_MS = 5_000;
 
-/** The state of a circuit before the first call. */
+/** State of a circuit breaker before the first call. */
 export const CLOSED_CIRCUIT: CircuitState = { kind: "closed", failures: 0 };
 
 /**
- * Returns the next state of a circuit. It opens after three failures in a row;
- * the pause before a probe doubles up to 5 s and is jittered in full, so that
- * daemons do not come back together.
+ * Returns the next state of a circuit breaker. It opens after three consecutive
+ * failures. The pause before a probe doubles up to 5 s, and is jittered down to half
+ * of that so that daemons do not retry at the same time.
  *
- * @param state State before.
- * @param event What happened.
+ * @param state State before the call.
+ * @param event Outcome of the call.
  * @param random Source of the jitter.
  */
 export function applyCircuitEvent(
@@ -47,12 +47,12 @@
 }
 
 /**
- * Decides whether a call may go out, and with which state.
+ * Decides whether a call may be sent, and returns the state that results.
  *
- * @param state State before.
- * @param nowMs Time now.
- * @returns The state to keep; a call may go out unless it is `open`. While it
- *   is `half-open`, only the call that made it so is out.
+ * @param state State before the call.
+ * @param nowMs Current time, in milliseconds.
+ * @returns Whether the call is admitted, and the state to keep. In the state
+ *   `half-open`, only the call that caused it is in progress.
  */
 export function admitCall(
   state: CircuitState,
--- a/store/guarded_store.ts
+++ b/store/guarded_store.ts
@@ -19,7 +19,7 @@
   SwapOutcome,
 } from "./store.ts";
 
-/** What a guarded store needs. */
+/** Constructor arguments of {@linkcode GuardedStore}. */
 export interface GuardedStoreParts {
   readonly store: Store;
   readonly clock: Clock;
@@ -27,16 +27,19 @@
   readonly budget: StoreBudget;
 }
 
-/** Optional parts of a guarded store. */
+/** Options of {@linkcode GuardedStore}. */
 export interface GuardedStoreOptions {
-  /** Longest time that a call may take, in milliseconds. Default: 1,500. */
+  /** Maximum duration of a call, in milliseconds. Default: 1,500. */
   readonly deadlineMs?: number;
-  /** Called when the circuit opens or closes. Default: nothing. */
+  /** Called with the new state when that of the circuit breaker changes. Default: no-op. */
   readonly onCircuit?: (state: CircuitState["kind"]) => void;
 }
 
 const DEFAULT_DEADLINE_MS = 1_500;
-/** How long a call waits for the budget: callers wait for the journal, batches have time. */
+/**
+ * Maximum time for which a call waits for the budget, by class, in milliseconds. Callers
+ * wait for journal writes, so that time is short; batches can wait longer.
+ */
 const BUDGET_PATIENCE_MS: Readonly<Record<StoreClass, number>> = {
   journal: 300,
   lease: 300,
@@ -47,8 +50,8 @@
 const BUDGET_WAIT_MS = 30;
 
 /**
- * The one store client of a daemon: every call has a deadline, passes the
- * budget, and is refused at once while the circuit is open.
+ * The only store client of a daemon. Every call has a deadline and takes from the
+ * budget, and is refused at once while the circuit breaker is open.
  */
 export class GuardedStore implements Store {
   readonly #parts: GuardedStoreParts;
@@ -59,7 +62,7 @@
 
   /**
    * @param parts Store, clock, random source and budget.
-   * @param options Deadline and observer.
+   * @param options Deadline of calls and observer of the circuit breaker.
    */
   constructor(parts: GuardedStoreParts, options: GuardedStoreOptions = {}) {
     this.#parts = parts;
@@ -67,7 +70,7 @@
     this.#onCircuit = options.onCircuit ?? (() => {});
   }
 
-  /** Whether the store answered lately. */
+  /** Whether the store counts as reachable: the circuit breaker is closed. */
   get isReachable(): boolean {
     return this.#circuit.kind === "closed";
   }
@@ -120,7 +123,7 @@
     run: (store: Store) => StoreResult<T>,
   ): StoreResult<T> {
     const { clock, store } = this.#parts;
-    // While one call probes a store that was lost, the others wait for what it finds.
+    // While one call probes an unreachable store, the others wait for its outcome.
     if (this.#circuit.kind === "half-open") await this.#probe;
     const admission = admitCall(this.#circuit, clock.nowMs());
     if (!admission.isAdmitted) {
@@ -146,7 +149,7 @@
     return await answered;
   }
 
-  /** Waits a while for the budget, by class, before a call is refused. */
+  /** Waits for the budget up to the maximum of the class; returns whether the call may be sent. */
   async #admitToBudget(callClass: StoreClass): Promise<boolean> {
     const { budget, clock } = this.#parts;
     const startMs = clock.nowMs();
--- a/store/mod.ts
+++ b/store/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The port to the platform's key-value service, and the one safe way to change
- * a document in it.
+ * The port to the platform's key-value service, and the only safe way to
+ * change a document in it.
  *
  * @example
  * ```ts
--- a/store/revisioned_store.ts
+++ b/store/revisioned_store.ts
@@ -7,37 +7,37 @@
 } from "./store.ts";
 import type { StorePosition } from "./store_position.ts";
 
-/** All keys with a prefix, and the position from which a watch goes on. */
+/** All keys with a prefix, and the position from which a watch continues. */
 export interface StoreSnapshot extends StorePosition {
   readonly entries: readonly StoreEntry[];
 }
 
-/** What happened after a revision. */
+/** Result of a wait for changes after a revision. */
 export type StoreChanges =
-  /** All changes up to a position. */
+  /** All changes after the revision, up to a position. */
   | (StorePosition & {
     readonly kind: "changes";
     readonly events: readonly StoreEvent[];
   })
-  /** The store does not have that part of its history: read anew. */
+  /** The store no longer has that part of its history: read a new snapshot. */
   | { readonly kind: "compacted"; readonly era: number };
 
-/** What a wait for changes starts from. */
+/** A request to wait for changes. */
 export interface AwaitChangesRequest {
   readonly prefix: string;
   readonly afterRevision: number;
-  /** Longest wait at the store, in milliseconds. */
+  /** Maximum wait at the store, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** A store whose watches go on from a revision. */
+/** A store whose watches can continue from a revision. */
 export interface RevisionedStore extends Store {
   /** Reads all keys with a prefix. */
   readSnapshot(
     prefix: string,
     options?: StoreCallOptions,
   ): StoreResult<StoreSnapshot>;
-  /** Waits for changes after a revision; none after `waitMs` is an empty list. */
+  /** Waits for changes after a revision; returns an empty list if none occur within `waitMs`. */
   awaitChanges(
     request: AwaitChangesRequest,
     options?: StoreCallOptions,
--- a/store/store.ts
+++ b/store/store.ts
@@ -1,20 +1,20 @@
 import type { Result } from "neverthrow";
 
-/** Why a call to the store gave no result. */
+/** Reason why a call to the store returned no result. */
 export type StoreFailure =
-  /** The store did not take the call: nothing was changed. */
+  /** The store did not accept the call: nothing was changed. */
   | { readonly kind: "unavailable"; readonly message: string }
   /** The answer is lost: a write may or may not have taken effect. */
   | { readonly kind: "unknown"; readonly message: string }
-  /** The call was held back here, to stay inside the budget. */
+  /** The call was not sent, to stay within the call budget of this daemon. */
   | { readonly kind: "over-budget"; readonly message: string }
   /** The value is over {@linkcode MAX_VALUE_BYTES}. */
   | { readonly kind: "too-large"; readonly message: string };
 
-/** Largest value that the store takes, in bytes. */
+/** Maximum size of a value that the store accepts, in bytes. */
 export const MAX_VALUE_BYTES = 1_000_000;
 
-/** A key with its value and the store's revision of the last write to it. */
+/** A key with its value and the revision of its last write. */
 export interface StoreEntry {
   readonly key: string;
   readonly value: string;
@@ -33,12 +33,12 @@
   readonly leaseId?: string;
 }
 
-/** End of a compare-and-swap whose answer is known. */
+/** Outcome of a compare-and-swap whose response was received. */
 export type SwapOutcome =
   | { readonly kind: "written"; readonly revision: number }
   | { readonly kind: "conflict" };
 
-/** What a watch reports. */
+/** A change that a watch reports. */
 export interface StoreEvent {
   readonly key: string;
   /** `undefined`: the key was deleted. */
@@ -46,7 +46,7 @@
   readonly revision: number;
 }
 
-/** Classes of store calls, the most important first. */
+/** Classes of store calls, in descending order of priority. */
 export type StoreClass =
   | "journal"
   | "lease"
@@ -54,28 +54,28 @@
   | "batch"
   | "usage";
 
-/** Optional parts of a store call. */
+/** Options of a store call. */
 export interface StoreCallOptions {
-  /** Class for the budget. Default: `"configuration"`. */
+  /** Class that decides the priority in the call budget. Default: `"configuration"`. */
   readonly callClass?: StoreClass;
-  /** Ends the call early. Default: none. */
+  /** Cancels the call. Default: none. */
   readonly signal?: AbortSignal;
 }
 
-/** End of a store call. */
+/** Result of a store call. */
 export type StoreResult<T> = Promise<Result<T, StoreFailure>>;
 
 /**
  * The platform's key-value service: reads, single-key compare-and-swap, leases
- * and watches. Nothing else of it is relied on.
+ * and watches. No other feature of that service is used.
  */
 export interface Store {
-  /** Reads one key; `undefined` when it does not exist. */
+  /** Reads one key; returns `undefined` if it does not exist. */
   read(
     key: string,
     options?: StoreCallOptions,
   ): StoreResult<StoreEntry | undefined>;
-  /** Reads all keys with a prefix, in order of key, in one call. */
+  /** Reads all keys with a prefix in one call, sorted by key. */
   readPrefix(
     prefix: string,
     options?: StoreCallOptions,
@@ -84,13 +84,14 @@
   swap(swap: Swap, options?: StoreCallOptions): StoreResult<SwapOutcome>;
   /** Creates a lease and returns its id. */
   grantLease(ttlMs: number, options?: StoreCallOptions): StoreResult<string>;
-  /** Prolongs a lease; `false` when it has lapsed. */
+  /** Renews a lease; returns `false` if it has expired. */
   renewLease(leaseId: string, options?: StoreCallOptions): StoreResult<boolean>;
   /** Ends a lease and deletes the keys under it. */
   revokeLease(leaseId: string, options?: StoreCallOptions): StoreResult<void>;
   /**
-   * Reports changes of keys with a prefix until the signal aborts or the store
-   * is lost; then the iterator ends and the watcher reads afresh.
+   * Reports changes of keys with a prefix until the signal aborts or the
+   * connection to the store is lost. The iterator then ends, and the watcher has
+   * to read the keys again.
    */
   watch(prefix: string, signal: AbortSignal): AsyncIterable<StoreEvent>;
 }
--- a/store/store_budget.ts
+++ b/store/store_budget.ts
@@ -1,6 +1,6 @@
 import type { StoreClass } from "./store.ts";
 
-/** Order of the classes, and the share of the bucket that each leaves for those before it. */
+/** Fraction of the bucket that each class leaves for the classes of higher priority. */
 const RESERVES: Readonly<Record<StoreClass, number>> = {
   journal: 0,
   lease: 0.1,
@@ -9,13 +9,16 @@
   usage: 0.5,
 };
 
-/** Part of the share that flows in steadily; the rest is the burst, so that no second passes the share. */
+/**
+ * Fraction of the daemon's share of calls that refills the bucket steadily. The rest is the
+ * burst, so that the calls of any one second do not exceed the share.
+ */
 const STEADY_SHARE = 0.8;
 const LEAST_BURST = 4;
 
 /**
- * A token bucket over all store calls of one daemon. A class may spend only
- * what lies above its reserve, so that journal writes go before usage flushes.
+ * A token bucket for all store calls of one daemon. A class may only take tokens
+ * above its reserve, so that journal writes have priority over usage flushes.
  */
 export class StoreBudget {
   #tokens: number;
@@ -24,8 +27,8 @@
   #filledMs: number;
 
   /**
-   * @param callsPerSecond Share of this daemon.
-   * @param nowMs Time of the first call.
+   * @param callsPerSecond Calls a second that this daemon may send.
+   * @param nowMs Time from which the bucket is refilled, in milliseconds.
    */
   constructor(callsPerSecond: number, nowMs: number) {
     this.#tokens = Infinity;
@@ -33,7 +36,7 @@
     this.setRate(callsPerSecond);
   }
 
-  /** Sets the share anew, after the number of live instances changed. */
+  /** Sets the calls a second, after the number of live instances has changed. */
   setRate(callsPerSecond: number): void {
     this.#steadyPerSecond = callsPerSecond * STEADY_SHARE;
     this.#capacity = Math.max(LEAST_BURST, callsPerSecond * (1 - STEADY_SHARE));
@@ -41,11 +44,11 @@
   }
 
   /**
-   * Takes one token, if the class may.
+   * Takes one token if the bucket holds more than the reserve of the class.
    *
    * @param callClass Class of the call.
-   * @param nowMs Time now.
-   * @returns Whether the call may go out.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Whether the call may be sent.
    */
   admit(callClass: StoreClass, nowMs: number): boolean {
     const elapsedSeconds = Math.max(0, nowMs - this.#filledMs) / 1000;
--- a/store/store_test.ts
+++ b/store/store_test.ts
@@ -30,7 +30,7 @@
 
 describe("writeChange()", () => {
   describe("when an answer is lost after the write took effect", () => {
-    it("finds its change id and does not write again", async () => {
+    it("finds its change id in the document and does not write again", async () => {
       const store = new MemoryStore(new VirtualClock());
       await add(store, "1");
       store.faults.loseAnswers = 1;
@@ -42,7 +42,7 @@
   });
 
   describe("when the store goes down after a lost answer", () => {
-    it("fails as unknown, since the write may be in", async () => {
+    it("fails as unknown, since the write may have taken effect", async () => {
       const store = new MemoryStore(new VirtualClock());
       store.faults.loseAnswers = 1;
       const swap = store.swap.bind(store);
@@ -57,8 +57,8 @@
     });
   });
 
-  describe("when many write at once", () => {
-    it("loses none", async () => {
+  describe("when several writers change one document at the same time", () => {
+    it("loses no change", async () => {
       const store = new MemoryStore(new VirtualClock());
       await Promise.all(["a", "b", "c", "d"].map((id) => add(store, id)));
       assert.equal(await readCount(store), 4);
@@ -67,7 +67,7 @@
 });
 
 describe("StoreBudget", () => {
-  it("keeps a reserve for the journal when usage has spent its part", () => {
+  it("keeps a reserve for journal calls when usage calls have spent their part", () => {
     const budget = new StoreBudget(10, 0);
     const admitted = (callClass: "journal" | "usage") =>
       Array.from({ length: 20 }, () => budget.admit(callClass, 0)).filter(
@@ -79,8 +79,8 @@
   });
 });
 
-describe("circuit", () => {
-  it("opens after three failures, and lets one probe through after a pause", () => {
+describe("circuit breaker", () => {
+  it("opens after three failures, and admits one probe after a pause", () => {
     const random = createRandom(1);
     const failed = { kind: "failed", nowMs: 0 } as const;
     let state = CLOSED_CIRCUIT;
@@ -99,7 +99,7 @@
 
 describe("GuardedStore", () => {
   describe("during an outage of 30 s and after", () => {
-    it("stays below its budget throughout, and is back within 6 s", async () => {
+    it("stays within its budget throughout, and is reachable again within 6 s", async () => {
       const clock = new VirtualClock();
       const store = new MemoryStore(clock);
       const guarded = new GuardedStore({
@@ -134,8 +134,8 @@
     });
   });
 
-  describe("when its budget is spent", () => {
-    it("waits for batches, a little for the journal, and not for usage", async () => {
+  describe("when its call budget is spent", () => {
+    it("delays batch calls, delays journal calls briefly, and refuses usage calls", async () => {
       const clock = new VirtualClock();
       const guarded = new GuardedStore({
         store: new MemoryStore(clock),
@@ -162,7 +162,7 @@
   });
 
   describe("when the store does not answer", () => {
-    it("fails as unknown at its deadline", async () => {
+    it("fails a call as unknown at its deadline", async () => {
       const clock = new VirtualClock();
       const store = new MemoryStore(clock);
       store.faults.latencyMs = 60_000;
--- a/store/write_change.ts
+++ b/store/write_change.ts
@@ -7,21 +7,21 @@
   StoreFailure,
 } from "./store.ts";
 
-/** How a change turned out. */
+/** Outcome of a change. */
 export type ChangeOutcome<T> =
   | {
     readonly kind: "written";
     readonly document: T;
     readonly revision: number;
   }
-  /** `update` declined: the document already is as wanted, or must stay. */
+  /** `update` declined: the document already has the requested state, or must not change. */
   | {
     readonly kind: "declined";
     readonly document: T | undefined;
     readonly revision: number;
   };
 
-/** A document that remembers the last change ids written to it. */
+/** A document that holds the ids of the last changes written to it. */
 export interface ChangeLog {
   /** Newest last; at most {@linkcode KEPT_CHANGE_IDS}. */
   readonly changeIds: readonly ChangeId[];
@@ -31,28 +31,28 @@
 export interface DocumentChange<T extends ChangeLog> {
   readonly key: string;
   readonly changeId: ChangeId;
-  /** Returns the new document, or `undefined` to decline. Called once for each try. */
+  /** Returns the new document, or `undefined` to decline. Called once per attempt. */
   readonly update: (current: T | undefined) => Omit<T, "changeIds"> | undefined;
-  /** The document and its revision as last seen, to spare the first read. Default: read. */
+  /** Document and revision as last read, which saves the first read. Default: it is read. */
   readonly known?: {
     readonly document: T | undefined;
     readonly revision: number;
   };
 }
 
-/** Change ids that a document keeps, so that a writer can find its own. */
+/** Number of change ids that a document holds, so that a writer can find its own among them. */
 export const KEPT_CHANGE_IDS = 32;
 const MAX_TRIES = 8;
 
 /**
- * Changes one document by compare-and-swap. After a lost answer the document is
- * read back and searched for the change id; it is never written again blindly.
+ * Changes one document by compare-and-swap. If the response to a write is lost, the
+ * document is read again and searched for the change id before any further write.
  *
- * @param store The store.
- * @param change What to change.
+ * @param store Store that holds the document.
+ * @param change Key, change id and update function.
  * @param options Class of the calls and signal.
- * @returns `written` only when the write is known to be in; a failure of kind
- *   `unknown` when that could not be found out.
+ * @returns `written` only if the write is known to have taken effect; a failure of
+ *   kind `unknown` if it is not known whether it has.
  */
 export async function writeChange<T extends ChangeLog>(
   store: Store,
@@ -98,7 +98,7 @@
     if (swapped.isErr() && swapped.error.kind !== "unknown") {
       return err(isUncertain ? toUnknown(swapped.error) : swapped.error);
     }
-    // A retry after a lost answer is safe: the swap still names the old revision.
+    // A retry after a lost response is safe, since the swap still expects the old revision.
     isUncertain ||= swapped.isErr();
     known = undefined;
   }
