--- a/teams/describe_team_changes.ts
+++ b/teams/describe_team_changes.ts
@@ -1,25 +1,26 @@
 import { toDigest } from "./identify_team.ts";
 import type { TeamTable } from "./team_table.ts";
 
-/** Names that one line lists at the most. */
+/** Maximum number of names in one field of the log line. */
 const MAX_NAMES = 20;
 
-/** What a configuration changes of teams, for a log line. */
+/** Differences of the teams of two configurations, for a log line. */
 export interface TeamChanges {
+  /** Number of teams after the change. */
   readonly teams: number;
-  /** Digests of keys that were added. */
+  /** Shortened hashes of keys that were added. */
   readonly keysAdded: string;
-  /** Digests of keys that were taken away. */
+  /** Shortened hashes of keys that were removed. */
   readonly keysRemoved: string;
   /** Teams whose limit, homes or priority changed. */
   readonly changed: string;
 }
 
 /**
- * Returns what a configuration changes of teams, or `undefined` where nothing does.
+ * Returns the differences of the teams of two configurations, or `undefined` if there are none.
  *
- * @param before Teams that were in force; `undefined`: none.
- * @param after Teams that come into force.
+ * @param before Teams of the configuration before; `undefined`: none.
+ * @param after Teams of the configuration that replaces it; `undefined`: none.
  */
 export function describeTeamChanges(
   before: TeamTable | undefined,
--- a/teams/identify_team.ts
+++ b/teams/identify_team.ts
@@ -3,22 +3,22 @@
 import type { Team } from "./team.ts";
 import type { TeamTable } from "./team_table.ts";
 
-/** Scheme, blanks and a key without blanks (RFC 6750); longer keys are none of ours. */
+/** Scheme, spaces and a key without spaces (RFC 6750). No valid key is longer. */
 const BEARER = /^Bearer +(\S{1,512})$/i;
-/** Digits of a key's hash that logs may show: enough to tell keys apart, no way back. */
+/** Digits of a key's hash that logs may show: they distinguish keys without revealing them. */
 const DIGEST_DIGITS = 8;
 
-/** Whose call it is. */
+/** The team of a caller, and the key that identifies it. */
 export interface IdentifiedTeam {
   readonly team: Team;
   /** SHA-256 of the key, in hexadecimal digits. */
   readonly tokenHash: string;
 }
 
-/** Why a caller is not known. */
+/** Reason why a caller could not be identified. */
 export interface UnknownCaller {
   readonly reason: "no-key" | "several-keys" | "unknown-key";
-  /** What logs may show of the key. Default: there is none. */
+  /** Digits of the key's hash that logs may show; `undefined`: there is no single key. */
   readonly digest: string | undefined;
 }
 
@@ -27,7 +27,7 @@
   return createHash("sha256").update(token).digest("hex");
 }
 
-/** Returns what logs may show of a key. */
+/** Returns the digits of a key's hash that logs may show. */
 export function toDigest(tokenHash: string): string {
   return tokenHash.slice(0, DIGEST_DIGITS);
 }
@@ -38,11 +38,11 @@
 }
 
 /**
- * Finds the team of a caller. Several headers name nobody: which of them counts would
- * depend on who reads them.
+ * Finds the team of a caller. Several headers identify no team, since which of them counts
+ * would depend on the program that reads them.
  *
- * @param teams Those in force.
- * @param values All values of `Authorization`, as received.
+ * @param teams Teams in the configuration in force.
+ * @param values All values of the `Authorization` header, as received.
  */
 export function identifyTeam(
   teams: TeamTable,
--- a/teams/mod.ts
+++ b/teams/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Teams of callers: who holds which key, where a team's calls may be served, how
- * urgent they are, and how much a team may use.
+ * Teams of callers: the keys that identify them, the regions that may serve their
+ * calls, and the priority and usage limit of those calls.
  *
  * @example
  * ```ts
--- a/teams/team.ts
+++ b/teams/team.ts
@@ -1,42 +1,42 @@
 import type { RegionId, TeamId } from "../ids/mod.ts";
 
-/** How much a team may use, over all instances together. */
+/** Usage limit of a team over all instances together. */
 export interface TeamLimit {
-  /** What is counted: calls, or the tokens that they read and may generate. */
+  /** Unit of measurement: calls, or the tokens that they read and may generate. */
   readonly unit: "requests" | "tokens";
-  /** Units a second. */
+  /** Units per second. */
   readonly perSecond: number;
-  /** Units at once beside those. */
+  /** Units that may be used at once in addition to the rate. */
   readonly burst: number;
-  /** Tokens that a call counts which says nothing of its tokens. */
+  /** Tokens counted for a call that does not state its number of tokens. */
   readonly plainTokens: number;
 }
 
-/** A team of callers, as calls see it. */
+/** A team of callers: priority, home regions and limit of its calls. */
 export interface Team {
   readonly id: TeamId;
-  /** Rank of its calls, 0 the most urgent. Default: that of the route. */
+  /** Priority of its calls, 0 being the most urgent. Default: that of the route. */
   readonly priority: number | undefined;
   /**
    * Regions that may serve its calls; `undefined`: all. An empty list allows none, so
-   * that a rule that cannot be found never sets calls free.
+   * that a missing rule never lifts the restriction.
    */
   readonly homeRegions: readonly RegionId[] | undefined;
-  /** Default: no limit. */
+  /** Usage limit. Default: none. */
   readonly limit: TeamLimit | undefined;
 }
 
-/** Tokens that a call reads, and the most that it may generate. */
+/** Number of tokens that a call reads, and the maximum that it may generate. */
 export interface CallTokens {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
 }
 
 /**
- * Returns what a call counts against a limit.
+ * Returns the number of units that a call counts against a limit.
  *
- * @param limit Of its team.
- * @param tokens What the call says of its tokens; `undefined`: nothing.
+ * @param limit Limit of the caller's team.
+ * @param tokens Tokens that the call states; `undefined`: it states none.
  */
 export function computeCallWeight(
   { plainTokens, unit }: TeamLimit,
--- a/teams/team_table.ts
+++ b/teams/team_table.ts
@@ -1,19 +1,19 @@
 import type { TeamId } from "../ids/mod.ts";
 import type { Team } from "./team.ts";
 
-/** A team, and the hashes of the keys that name it. */
+/** A team, and the hashes of the keys that identify it. */
 export interface TeamKeys {
   readonly team: Team;
   /** SHA-256 of each key, in hexadecimal digits. */
   readonly tokenHashes: readonly string[];
 }
 
-/** The teams of one configuration, found by the keys of their callers. */
+/** Lookup of the teams of one configuration by id and by the keys of their callers. */
 export class TeamTable {
   readonly #byId: ReadonlyMap<TeamId, Team>;
   readonly #byTokenHash: ReadonlyMap<string, Team>;
 
-  /** @param entries Teams with their keys. A key of two teams names the first. */
+  /** @param entries Teams with their keys. A key of two teams identifies the first. */
   constructor(entries: readonly TeamKeys[]) {
     this.#byId = new Map(entries.map(({ team }) => [team.id, team]));
     const byTokenHash = new Map<string, Team>();
@@ -34,14 +34,14 @@
     return [...this.#byTokenHash.keys()];
   }
 
-  /** Returns a team by its name. */
+  /** Returns a team by its id. */
   find(id: TeamId): Team | undefined {
     return this.#byId.get(id);
   }
 
   /**
-   * Returns the team that a key names. Keys are looked up by their hash, so that the
-   * time taken tells nothing of a key.
+   * Returns the team that a key identifies. Keys are looked up by their hash, so that the
+   * time of the lookup reveals nothing about a key.
    *
    * @param tokenHash SHA-256 of the key, in hexadecimal digits.
    */
