--- a/relay/continuation.ts
+++ b/relay/continuation.ts
@@ -1,4 +1,4 @@
-/** The part of a chunk of a chat completion or a completion that is used here. */
+/** The fields used here of a chunk of a chat completion or a text completion. */
 interface Chunk {
   readonly id?: string;
   readonly choices?: readonly {
@@ -8,21 +8,21 @@
   }[];
 }
 
-/** What a caller was given so far of one stream. */
+/** The part of one stream that was delivered to the caller so far. */
 export class Delivered {
   /** Text of the only choice. */
   text = "";
-  /** Chunks with text. */
+  /** Number of chunks with text. */
   tokens = 0;
   #id: string | undefined;
 
   /**
-   * Records one chunk and gives it the id of the first one, so that a caller
-   * sees one answer even if two engines made it.
+   * Records one chunk. A chunk of a later attempt gets the id of the first chunk, so
+   * that a caller sees one answer even if two engines generated it.
    *
    * @param data Data of the chunk.
    * @param isContinuation Whether it comes from a later attempt.
-   * @returns Data to send.
+   * @returns Data to send to the caller.
    */
   record(data: string, isContinuation: boolean): string {
     const chunk = parseChunk(data);
@@ -40,12 +40,13 @@
 }
 
 /**
- * Returns a request body that makes another engine go on after what was
- * delivered; `undefined` where that is not possible (several choices, tools, or
- * token by token details that cannot be joined).
+ * Returns a request body that makes another engine continue after the delivered
+ * text; `undefined` if that is not possible: several choices, tools, a response
+ * format, details per token that cannot be joined, no tokens left within the
+ * limit, or no prompt to continue.
  *
  * @param body Body of the first request.
- * @param delivered What the caller has.
+ * @param delivered Part of the stream that the caller has.
  */
 export function createContinuation(
   body: Readonly<Record<string, unknown>>,
--- a/relay/event_sequence.ts
+++ b/relay/event_sequence.ts
@@ -1,33 +1,34 @@
 import { END_OF_STREAM, type StreamEvent } from "../engine/mod.ts";
 
-/** What was let through or dropped. */
+/** Numbers of dropped and buffered events. */
 export interface SequenceCounts {
-  /** Events of another attempt. */
+  /** Dropped events of other attempts. */
   foreign: number;
-  /** Events that were there before. */
+  /** Dropped events that had already arrived. */
   duplicate: number;
-  /** Events that came too early and were held. */
+  /** Events that arrived before an earlier one and were buffered. */
   early: number;
 }
 
-/** What to do after an event. */
+/** Result of an event: data to deliver, or a gap. */
 export type SequenceStep =
   | {
     readonly kind: "deliver";
     readonly data: readonly string[];
     readonly isEnded: boolean;
   }
-  /** Too many events are held: one is lost. */
+  /** Too many events are buffered: the one that they wait for is lost. */
   | { readonly kind: "gap" };
 
 const MAX_HELD = 64;
 
 /**
- * Lets through the events of one attempt, each once and in order. Foreign and
- * repeated events are dropped and counted; early ones are held for their turn.
+ * Delivers the events of one attempt, each once and in order. Events of other
+ * attempts and duplicates are dropped and counted; events that arrive early are
+ * buffered until those before them have arrived.
  */
 export class EventSequence {
-  /** What was dropped or held. */
+  /** Numbers of dropped and buffered events. */
   readonly counts: SequenceCounts = { foreign: 0, duplicate: 0, early: 0 };
   #next: number;
   #isEnded = false;
@@ -35,7 +36,7 @@
   readonly #held = new Map<number, string>();
 
   /**
-   * @param attempt The one attempt whose events are let through.
+   * @param attempt Attempt whose events are delivered.
    * @param firstIndex Index of its first event. Default: 0.
    */
   constructor(attempt: string, firstIndex = 0) {
@@ -43,20 +44,20 @@
     this.#next = firstIndex;
   }
 
-  /** Index of the event that is wanted next. */
+  /** Index of the next event to deliver. */
   get nextIndex(): number {
     return this.#next;
   }
 
-  /** Whether the terminal event was let through. */
+  /** Whether the terminal event has arrived in order. */
   get isEnded(): boolean {
     return this.#isEnded;
   }
 
   /**
-   * Takes one event.
+   * Applies one event.
    *
-   * @param event As it arrived.
+   * @param event Event as it arrived.
    * @returns Data to deliver now, in order.
    */
   apply(event: StreamEvent): SequenceStep {
--- a/relay/event_sequence_test.ts
+++ b/relay/event_sequence_test.ts
@@ -37,7 +37,7 @@
     ));
   });
 
-  it("gives up on a lost event when too many are held", () => {
+  it("reports a gap when too many events wait for a lost one", () => {
     const sequence = new EventSequence("own");
     const steps = Array.from(
       { length: 70 },
@@ -49,7 +49,7 @@
 });
 
 describe("createContinuation()", () => {
-  it("asks for the rest after what was delivered", () => {
+  it("requests the rest of an answer after the delivered text", () => {
     const delivered = new Delivered();
     delivered.record(
       '{"id":"a","choices":[{"delta":{"content":"one "}}]}',
@@ -70,7 +70,7 @@
     assert.equal((JSON.parse(renamed) as { id: string }).id, "a");
   });
 
-  it("refuses what cannot be joined", () => {
+  it("returns nothing for answers that cannot be joined", () => {
     const delivered = new Delivered();
     delivered.record('{"choices":[{"delta":{"content":"one "}}]}', false);
     assert.equal(
--- a/relay/mod.ts
+++ b/relay/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Whole answers: events of one attempt, each once and in order, and how another
- * engine goes on after a broken stream.
+ * Complete streamed answers: events of one attempt, each once and in order, and
+ * requests that make another engine continue after a broken stream.
  *
  * @example
  * ```ts
