--- a/admission/admission_queue.ts
+++ b/admission/admission_queue.ts
@@ -36,7 +36,7 @@
   readonly maxInteractiveWaitMs?: number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly request: AdmissionRequest;
   readonly order: number;
   readonly settle: (result: AdmissionResult) => void;
@@ -47,7 +47,7 @@
 const SWEEP_INTERVAL_MS = 20;
 const RATE_WINDOW_MS = 2_000;
 const FAIRNESS_DECAY = 0.98;
-const RETRY_FLOOR_MS = 100;
+const MIN_RETRY_MS = 100;
 
 /**
  * Admits requests while there is capacity, and queues the others: higher classes
@@ -61,12 +61,12 @@
   readonly #parts: AdmissionParts;
   readonly #maxLength: number;
   readonly #maxInteractiveWaitMs: number;
-  readonly #waiting = new Map<Priority, Waiting[]>(
+  readonly #waiting = new Map<Priority, WaitingRequest[]>(
     PRIORITIES.map((priority) => [priority, []]),
   );
-  readonly #served = new Map<TeamId, number>();
-  #startedMs: number[] = [];
-  #order = 0;
+  readonly #recentStarts = new Map<TeamId, number>();
+  #startTimesMs: number[] = [];
+  #nextOrder = 0;
   #isSweeping = false;
 
   /**
@@ -83,7 +83,7 @@
   /** Number of waiting requests. */
   get length(): number {
     return PRIORITIES.reduce(
-      (sum, priority) => sum + this.#read(priority).length,
+      (sum, priority) => sum + this.#getQueue(priority).length,
       0,
     );
   }
@@ -98,10 +98,10 @@
     const nowMs = this.#parts.clock.nowMs();
     if (request.dueMs <= nowMs + request.workMs) {
       this.refused.late++;
-      return Promise.resolve(err(createLate(request, nowMs)));
+      return Promise.resolve(err(createLateFailure(request, nowMs)));
     }
     if (
-      this.#countUpTo(request.priority) === 0 &&
+      this.#countWaitingUpTo(request.priority) === 0 &&
       this.#parts.hasRoom(request.priority)
     ) {
       this.#recordStart(request, nowMs);
@@ -115,9 +115,11 @@
   /** Refuses requests that can no longer complete in time, and admits others up to the capacity. */
   wake(): void {
     const nowMs = this.#parts.clock.nowMs();
-    this.#dropLate(nowMs);
+    this.#refuseLate(nowMs);
     PRIORITIES.forEach((priority) => {
-      while (this.#read(priority).length > 0 && this.#parts.hasRoom(priority)) {
+      while (
+        this.#getQueue(priority).length > 0 && this.#parts.hasRoom(priority)
+      ) {
         const next = this.#takeNext(priority);
         this.#recordStart(next.request, nowMs);
         next.settle(ok(undefined));
@@ -127,38 +129,38 @@
 
   /** Estimates how long a new request of a class would wait, in milliseconds. */
   estimateWaitMs(priority: Priority, nowMs: number): number {
-    const ahead = this.#countUpTo(priority);
+    const ahead = this.#countWaitingUpTo(priority);
     if (ahead === 0) return 0;
-    this.#startedMs = this.#startedMs.filter((startMs) =>
+    this.#startTimesMs = this.#startTimesMs.filter((startMs) =>
       nowMs - startMs < RATE_WINDOW_MS
     );
-    const perMs = Math.max(1, this.#startedMs.length) / RATE_WINDOW_MS;
+    const perMs = Math.max(1, this.#startTimesMs.length) / RATE_WINDOW_MS;
     return ahead / perMs;
   }
 
-  #read(priority: Priority): Waiting[] {
+  #getQueue(priority: Priority): WaitingRequest[] {
     return this.#waiting.get(priority)!;
   }
 
-  #countUpTo(priority: Priority): number {
+  #countWaitingUpTo(priority: Priority): number {
     return PRIORITIES.slice(0, PRIORITIES.indexOf(priority) + 1)
-      .reduce((sum, each) => sum + this.#read(each).length, 0);
+      .reduce((sum, each) => sum + this.#getQueue(each).length, 0);
   }
 
   #refuseEarly(request: AdmissionRequest, nowMs: number): Failure | undefined {
     const waitMs = this.estimateWaitMs(request.priority, nowMs);
     const leftMs = request.dueMs - nowMs - request.workMs;
-    const longestMs = request.priority === "interactive"
+    const maxWaitMs = request.priority === "interactive"
       ? Math.min(leftMs, this.#maxInteractiveWaitMs)
       : leftMs;
-    if (waitMs > longestMs && !this.#makeRoomFor(request)) {
+    if (waitMs > maxWaitMs && !this.#makeRoomFor(request)) {
       this.refused.overloaded++;
-      return createOverloaded(waitMs - longestMs);
+      return createOverloadedFailure(waitMs - maxWaitMs);
     }
     if (this.length < this.#maxLength) return undefined;
     if (this.#shedBelow(request.priority)) return undefined;
     this.refused.overloaded++;
-    return createOverloaded(waitMs);
+    return createOverloadedFailure(waitMs);
   }
 
   /**
@@ -166,20 +168,22 @@
    * the newest waiting request of the team that has the most.
    */
   #makeRoomFor(request: AdmissionRequest): boolean {
-    const queue = this.#read(request.priority);
+    const queue = this.#getQueue(request.priority);
     const byTeam = new Map<TeamId, number>();
     queue.forEach(({ request: { team } }) =>
       byTeam.set(team, (byTeam.get(team) ?? 0) + 1)
     );
-    const [most, count] = [...byTeam].reduce(
+    const [largestTeam, count] = [...byTeam].reduce(
       (first, other) => other[1] > first[1] ? other : first,
       [request.team, 0] as [TeamId, number],
     );
     if (count <= (byTeam.get(request.team) ?? 0) + 1) return false;
-    const at = queue.findLastIndex((waiting) => waiting.request.team === most);
+    const at = queue.findLastIndex((waiting) =>
+      waiting.request.team === largestTeam
+    );
     const [shed] = queue.splice(at, 1);
     this.refused.shed++;
-    shed!.settle(err(createOverloaded(RATE_WINDOW_MS)));
+    shed!.settle(err(createOverloadedFailure(RATE_WINDOW_MS)));
     return true;
   }
 
@@ -187,10 +191,12 @@
   #shedBelow(priority: Priority): boolean {
     const lower = PRIORITIES.slice(PRIORITIES.indexOf(priority) + 1)
       .toReversed();
-    const from = lower.find((each) => this.#read(each).length > 0);
+    const from = lower.find((each) => this.#getQueue(each).length > 0);
     if (from === undefined) return false;
     this.refused.shed++;
-    this.#read(from).pop()!.settle(err(createOverloaded(RATE_WINDOW_MS)));
+    this.#getQueue(from).pop()!.settle(
+      err(createOverloadedFailure(RATE_WINDOW_MS)),
+    );
     return true;
   }
 
@@ -198,8 +204,8 @@
     request: AdmissionRequest,
     resolve: (result: AdmissionResult) => void,
   ): void {
-    const leave = () => {
-      const queue = this.#read(request.priority);
+    const cancel = () => {
+      const queue = this.#getQueue(request.priority);
       const at = queue.indexOf(waiting);
       if (at < 0) return;
       queue.splice(at, 1);
@@ -212,21 +218,21 @@
         ),
       );
     };
-    const waiting: Waiting = {
+    const waiting: WaitingRequest = {
       request,
-      order: this.#order++,
+      order: this.#nextOrder++,
       settle: (result) => {
-        request.signal.removeEventListener("abort", leave);
+        request.signal.removeEventListener("abort", cancel);
         resolve(result);
       },
     };
-    this.#read(request.priority).push(waiting);
-    request.signal.addEventListener("abort", leave, { once: true });
-    this.#sweepLater();
+    this.#getQueue(request.priority).push(waiting);
+    request.signal.addEventListener("abort", cancel, { once: true });
+    this.#scheduleSweep();
   }
 
-  #takeNext(priority: Priority): Waiting {
-    const queue = this.#read(priority);
+  #takeNext(priority: Priority): WaitingRequest {
+    const queue = this.#getQueue(priority);
     const best = queue.reduce((first, other) =>
       this.#isBefore(other, first) ? other : first
     );
@@ -234,11 +240,11 @@
     return best;
   }
 
-  #isBefore(a: Waiting, b: Waiting): boolean {
-    const servedA = this.#served.get(a.request.team) ?? 0;
-    const servedB = this.#served.get(b.request.team) ?? 0;
-    if (a.request.team !== b.request.team && servedA !== servedB) {
-      return servedA < servedB;
+  #isBefore(a: WaitingRequest, b: WaitingRequest): boolean {
+    const startsA = this.#recentStarts.get(a.request.team) ?? 0;
+    const startsB = this.#recentStarts.get(b.request.team) ?? 0;
+    if (a.request.team !== b.request.team && startsA !== startsB) {
+      return startsA < startsB;
     }
     return a.request.dueMs < b.request.dueMs ||
       (a.request.dueMs === b.request.dueMs && a.order < b.order);
@@ -246,42 +252,45 @@
 
   #recordStart(request: AdmissionRequest, nowMs: number): void {
     this.#parts.recordStart(request.priority);
-    this.#startedMs.push(nowMs);
-    if (this.#startedMs.length > this.#maxLength) this.#startedMs.shift();
-    this.#served.forEach((count, team) => {
-      if (count < 0.01) this.#served.delete(team);
-      else this.#served.set(team, count * FAIRNESS_DECAY);
+    this.#startTimesMs.push(nowMs);
+    if (this.#startTimesMs.length > this.#maxLength) this.#startTimesMs.shift();
+    this.#recentStarts.forEach((count, team) => {
+      if (count < 0.01) this.#recentStarts.delete(team);
+      else this.#recentStarts.set(team, count * FAIRNESS_DECAY);
     });
-    this.#served.set(request.team, (this.#served.get(request.team) ?? 0) + 1);
+    this.#recentStarts.set(
+      request.team,
+      (this.#recentStarts.get(request.team) ?? 0) + 1,
+    );
   }
 
-  #dropLate(nowMs: number): void {
+  #refuseLate(nowMs: number): void {
     PRIORITIES.forEach((priority) => {
-      const queue = this.#read(priority);
-      const isLate = ({ request }: Waiting) =>
+      const queue = this.#getQueue(priority);
+      const isLate = ({ request }: WaitingRequest) =>
         request.dueMs <= nowMs + request.workMs;
       const late = queue.filter(isLate);
       if (late.length === 0) return;
       this.#waiting.set(priority, queue.filter((waiting) => !isLate(waiting)));
       late.forEach(({ request, settle }) => {
         this.refused.late++;
-        settle(err(createLate(request, nowMs)));
+        settle(err(createLateFailure(request, nowMs)));
       });
     });
   }
 
-  #sweepLater(): void {
+  #scheduleSweep(): void {
     if (this.#isSweeping) return;
     this.#isSweeping = true;
     this.#parts.clock.schedule(SWEEP_INTERVAL_MS, () => {
       this.#isSweeping = false;
       this.wake();
-      if (this.length > 0) this.#sweepLater();
+      if (this.length > 0) this.#scheduleSweep();
     });
   }
 }
 
-function createLate(request: AdmissionRequest, nowMs: number): Failure {
+function createLateFailure(request: AdmissionRequest, nowMs: number): Failure {
   const leftMs = Math.max(0, Math.round(request.dueMs - nowMs));
   const message =
     `Cannot start the work: it takes about ${Math.round(request.workMs)} ms, ` +
@@ -289,12 +298,12 @@
   return createFailure("DEADLINE_PASSED", message);
 }
 
-function createOverloaded(retryAfterMs: number): Failure {
+function createOverloadedFailure(retryAfterMs: number): Failure {
   return createFailure(
     "OVERLOADED",
     "Cannot start the work in time: too much waits before it",
     {
-      retryAfterMs: Math.max(RETRY_FLOOR_MS, Math.round(retryAfterMs)),
+      retryAfterMs: Math.max(MIN_RETRY_MS, Math.round(retryAfterMs)),
     },
   );
 }
--- a/admission/admission_test.ts
+++ b/admission/admission_test.ts
@@ -7,13 +7,13 @@
 import { BatchShare } from "./batch_share.ts";
 import { TeamLimits } from "./team_limits.ts";
 
-function createQueue(places: number) {
+function createQueue(capacity: number) {
   const clock = new VirtualClock();
-  const room = { free: places };
+  const slots = { free: capacity };
   const queue = new AdmissionQueue({
     clock,
-    hasRoom: () => room.free > 0,
-    recordStart: () => room.free--,
+    hasRoom: () => slots.free > 0,
+    recordStart: () => slots.free--,
   });
   const started: string[] = [];
   const refused: string[] = [];
@@ -32,7 +32,7 @@
     });
   };
   const free = async (count: number) => {
-    room.free += count;
+    slots.free += count;
     queue.wake();
     await clock.advance(0);
   };
--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -33,13 +33,14 @@
 /** Number of known instances of a region, and of those whose reports arrive. */
 export interface RegionCount {
   readonly region: RegionId;
-  /** This instance included. */
+  /** Known instances, this one included. */
   readonly known: number;
+  /** Instances whose reports arrive. */
   readonly heard: number;
 }
 
 /** Decision on whether a call is within the limit of its team. */
-export type LimitVerdict =
+export type LimitDecision =
   | { readonly kind: "admitted" }
   | {
     readonly kind: "refused";
@@ -64,51 +65,51 @@
  * Fraction of the window in which demand decays to about a third. It is short enough for
  * the value to follow changes of the demand.
  */
-const FADE_PART = 1 / 5;
+const DECAY_TIME_FRACTION = 1 / 5;
 /**
  * Length of the sliding count, in windows. A window is counted in twenty buckets, the
  * newest of which is incomplete, so the count covers one bucket more.
  */
-const COUNTED_WINDOWS = 1 + 1 / 20;
+const SLIDING_COUNT_WINDOWS = 1 + 1 / 20;
 /**
  * Fraction of the tolerated excess over rate and burst that the budget includes. The rest
  * covers calls that are admitted between two reports.
  */
-const PLANNED_EXCESS = 0.2;
+const PLANNED_EXCESS_FRACTION = 0.2;
 /** Time for which others may admit calls before this instance learns of them, in milliseconds. */
-const UNSEEN_MS = 1_200;
+const REPORT_DELAY_MS = 1_200;
 /** Minimum and maximum fraction, at the end of a budget, in which only some calls are admitted. */
-const LEAST_TAPERED = 0.03;
-const MOST_TAPERED = 0.6;
+const MIN_TAPERED_FRACTION = 0.03;
+const MAX_TAPERED_FRACTION = 0.6;
 /**
  * Maximum rate that is admitted for a second or two, as a multiple of the rate of the
  * limit. A team that is far over its limit is slowed down evenly instead of using up a
  * window and waiting for the next one.
  */
-const RUSH_PART = 1.35;
+const MAX_RATE_FACTOR = 1.35;
 /** Fraction of an equal share of the budget that a process assumes was used before its start. */
-const FORGOTTEN_PART = 0.9;
+const PRIOR_USAGE_FRACTION = 0.9;
 /**
  * Number of windows over which this assumed usage declines to zero. One window is too
  * short, since the usage need not have been spread evenly over it.
  */
-const FORGOTTEN_WINDOWS = 1.25;
+const PRIOR_USAGE_WINDOWS = 1.25;
 /** Fraction of an equal share of the budget below which an instance does not report a team. */
-const TOLD_PART = 0.02;
+const MIN_REPORTED_FRACTION = 0.02;
 /** Fraction of the budget that is added to the demand, in equal parts for all instances. */
-const EVEN_PART = 0.02;
+const EVEN_DEMAND_FRACTION = 0.02;
 /** Validity of the counts of reporting instances, in milliseconds: four report intervals. */
 const COUNT_VALID_MS = 600;
 /** Minimum time after which refused callers retry, in milliseconds. */
-const LEAST_RETRY_MS = 150;
+const MIN_RETRY_MS = 150;
 /** Time that is added to the minimum where hardly any call is admitted, in milliseconds. */
-const ADDED_RETRY_MS = 1_000;
+const MAX_ADDED_RETRY_MS = 1_000;
 
 interface Bucket {
   readonly used: SlidingCount;
-  asked: number;
-  /** Time up to which the decay of `asked` is applied, in milliseconds. */
-  askedMs: number;
+  demand: number;
+  /** Time up to which the decay of the demand is applied, in milliseconds. */
+  decayedMs: number;
   /** Limit in the configuration in force. */
   limit: TeamLimit;
   /** Fraction of the demand in each region when the reports of all instances last arrived. */
@@ -124,16 +125,16 @@
  */
 export class FleetLimits {
   readonly #parts: FleetLimitsParts;
-  readonly #fadeMs: number;
+  readonly #decayTimeMs: number;
   readonly #buckets = new Map<TeamId, Bucket>();
   #counts: readonly RegionCount[];
-  #known = 1;
+  #knownCount = 1;
   #countedMs = Number.NEGATIVE_INFINITY;
 
   /** @param parts Bounds, random source, and access to the reports of other instances. */
   constructor(parts: FleetLimitsParts) {
     this.#parts = parts;
-    this.#fadeMs = parts.bounds.windowMs * FADE_PART;
+    this.#decayTimeMs = parts.bounds.windowMs * DECAY_TIME_FRACTION;
     this.#counts = [{ region: parts.ownRegion, known: 1, heard: 1 }];
   }
 
@@ -141,16 +142,19 @@
    * Sets the numbers of known and reporting instances.
    *
    * @param counts Counts of each region, including the own one.
-   * @param named Number of instances that the store lists.
+   * @param registeredCount Number of instances that the store lists.
    * @param nowMs Current time, in milliseconds.
    */
   setCounts(
     counts: readonly RegionCount[],
-    named: number,
+    registeredCount: number,
     nowMs: number,
   ): void {
     this.#counts = counts;
-    this.#known = Math.max(named, sumOf(counts, ({ known }) => known));
+    this.#knownCount = Math.max(
+      registeredCount,
+      sumOf(counts, ({ known }) => known),
+    );
     this.#countedMs = nowMs;
   }
 
@@ -161,35 +165,35 @@
    * @param weight Units that the call counts.
    * @param nowMs Current time, in milliseconds.
    */
-  admit(team: Team, weight: number, nowMs: number): LimitVerdict {
+  admit(team: Team, weight: number, nowMs: number): LimitDecision {
     const { limit } = team;
     if (limit === undefined) return { kind: "admitted" };
     const bucket = this.#readBucket(team.id, limit, nowMs);
     const others = this.#parts.readOthers(team.id);
-    const part = this.#readPart(bucket, others, nowMs);
+    const part = this.#computeUsableFraction(bucket, others, nowMs);
     const budget = this.#computeBudget(limit);
     const mayUse = part * budget;
-    const used = this.#readUsed(bucket, nowMs) +
+    const used = this.#readUsage(bucket, nowMs) +
       sumOf(others, (use) => use.used);
-    const asked = bucket.asked + sumOf(others, (use) => use.asked);
-    bucket.asked += weight;
+    const asked = bucket.demand + sumOf(others, (use) => use.asked);
+    bucket.demand += weight;
     // An instance that lacks reports of others may use only a small part of the budget,
     // and one call may weigh many times as much. Such a call is admitted with a
     // probability that falls with its weight.
     const left = mayUse - used;
     const chance = Math.min(
-      this.#computeChance(left, asked, mayUse),
-      part * this.#computeRush(limit) / asked,
+      this.#computeAdmissionProbability(left, asked, mayUse),
+      part * this.#computeUnthrottledDemand(limit) / asked,
       part < 1 ? left / weight : 1,
     );
-    const isEver = weight <= budget;
-    if (isEver && this.#parts.random.nextFloat() < chance) {
-      bucket.used.add(this.#toCounted(nowMs), weight);
+    const canEverAdmit = weight <= budget;
+    if (canEverAdmit && this.#parts.random.nextFloat() < chance) {
+      bucket.used.add(this.#toCountTime(nowMs), weight);
       return { kind: "admitted" };
     }
     return {
       kind: "refused",
-      retryAfterMs: isEver ? this.#pickRetryMs(chance) : undefined,
+      retryAfterMs: canEverAdmit ? this.#pickRetryMs(chance) : undefined,
       inputs: { weight, used, asked, mayUse, part, chance },
     };
   }
@@ -202,23 +206,24 @@
   ): void {
     const bucket = this.#buckets.get(team);
     if (bucket === undefined) return;
-    this.#fade(bucket, at.nowMs);
+    this.#decayDemand(bucket, at.nowMs);
     const elapsedMs = at.nowMs - at.admittedMs;
-    const left = weight * this.#computeFading(elapsedMs);
-    bucket.asked = Math.max(0, bucket.asked - left);
+    const left = weight * this.#computeDecayFactor(elapsedMs);
+    bucket.demand = Math.max(0, bucket.demand - left);
     if (elapsedMs < this.#parts.bounds.windowMs) {
-      bucket.used.add(this.#toCounted(at.nowMs), -weight);
+      bucket.used.add(this.#toCountTime(at.nowMs), -weight);
     }
   }
 
   /** Returns the usage to report to others: that of teams that are not far below their limit. */
   listOwn(nowMs: number): readonly ReportedUse[] {
     return [...this.#buckets].flatMap(([team, bucket]) => {
-      this.#fade(bucket, nowMs);
-      const used = this.#readUsed(bucket, nowMs);
-      const least = TOLD_PART * this.#computeBudget(bucket.limit) / this.#known;
-      if (used < least && bucket.asked < least) return [];
-      const asked = Math.round(bucket.asked);
+      this.#decayDemand(bucket, nowMs);
+      const used = this.#readUsage(bucket, nowMs);
+      const minReported = MIN_REPORTED_FRACTION *
+        this.#computeBudget(bucket.limit) / this.#knownCount;
+      if (used < minReported && bucket.demand < minReported) return [];
+      const asked = Math.round(bucket.demand);
       return [{ team, used: Math.round(used), asked }];
     });
   }
@@ -233,13 +238,15 @@
     const known = this.#buckets.get(team);
     if (known !== undefined) {
       known.limit = limit;
-      this.#fade(known, nowMs);
+      this.#decayDemand(known, nowMs);
       return known;
     }
     const bucket: Bucket = {
-      used: new SlidingCount(COUNTED_WINDOWS * this.#parts.bounds.windowMs),
-      asked: this.#computeForgottenDemand(limit, nowMs),
-      askedMs: nowMs,
+      used: new SlidingCount(
+        SLIDING_COUNT_WINDOWS * this.#parts.bounds.windowMs,
+      ),
+      demand: this.#computePriorDemand(limit, nowMs),
+      decayedMs: nowMs,
       limit,
       parts: undefined,
     };
@@ -247,9 +254,9 @@
     return bucket;
   }
 
-  #readUsed({ limit, used }: Bucket, nowMs: number): number {
-    const counted = Math.max(0, used.read(this.#toCounted(nowMs)));
-    return counted + this.#readForgotten(limit, nowMs);
+  #readUsage({ limit, used }: Bucket, nowMs: number): number {
+    const counted = Math.max(0, used.read(this.#toCountTime(nowMs)));
+    return counted + this.#computePriorUsage(limit, nowMs);
   }
 
   /**
@@ -257,75 +264,82 @@
    * usage is unknown. Without it, instances that start at the same time would have a
    * whole window each.
    */
-  #readForgotten(limit: TeamLimit, nowMs: number): number {
+  #computePriorUsage(limit: TeamLimit, nowMs: number): number {
     const { bounds: { windowMs }, startedMs } = this.#parts;
-    const passed = (nowMs - startedMs) / (FORGOTTEN_WINDOWS * windowMs);
+    const passed = (nowMs - startedMs) / (PRIOR_USAGE_WINDOWS * windowMs);
     if (passed >= 1) return 0;
-    const share = this.#computeBudget(limit) / this.#known;
-    return FORGOTTEN_PART * share * (1 - passed);
+    const share = this.#computeBudget(limit) / this.#knownCount;
+    return PRIOR_USAGE_FRACTION * share * (1 - passed);
   }
 
   /** Returns the demand that is assumed from before the start: as much as the limit grants. */
-  #computeForgottenDemand({ perSecond }: TeamLimit, nowMs: number): number {
-    const granted = perSecond * this.#fadeMs / 1_000 / this.#known;
-    return granted * this.#computeFading(nowMs - this.#parts.startedMs);
+  #computePriorDemand({ perSecond }: TeamLimit, nowMs: number): number {
+    const granted = perSecond * this.#decayTimeMs / 1_000 / this.#knownCount;
+    return granted * this.#computeDecayFactor(nowMs - this.#parts.startedMs);
   }
 
   /** Converts a time to one of the sliding count, which starts at 0, before all counted calls. */
-  #toCounted(nowMs: number): number {
+  #toCountTime(nowMs: number): number {
     const { bounds: { windowMs }, startedMs } = this.#parts;
     return nowMs - startedMs + 2 * windowMs;
   }
 
-  #fade(bucket: Bucket, nowMs: number): void {
-    const fading = this.#computeFading(nowMs - bucket.askedMs);
-    bucket.asked *= fading;
-    bucket.askedMs = nowMs;
+  #decayDemand(bucket: Bucket, nowMs: number): void {
+    const decayFactor = this.#computeDecayFactor(nowMs - bucket.decayedMs);
+    bucket.demand *= decayFactor;
+    bucket.decayedMs = nowMs;
   }
 
-  #computeFading(elapsedMs: number): number {
-    return Math.exp(-Math.max(0, elapsedMs) / this.#fadeMs);
+  #computeDecayFactor(elapsedMs: number): number {
+    return Math.exp(-Math.max(0, elapsedMs) / this.#decayTimeMs);
   }
 
   /** Returns the planned weight that all instances together may admit in one window. */
   #computeBudget({ burst, perSecond }: TeamLimit): number {
     const { overshoot, slack, windowMs } = this.#parts.bounds;
     const granted = perSecond * windowMs / 1_000 + burst;
-    return granted + PLANNED_EXCESS * (overshoot * granted + slack);
+    return granted + PLANNED_EXCESS_FRACTION * (overshoot * granted + slack);
   }
 
   /** Returns the recent demand on all instances together beyond which only a part is admitted. */
-  #computeRush({ perSecond }: TeamLimit): number {
+  #computeUnthrottledDemand({ perSecond }: TeamLimit): number {
     const { bounds: { slack } } = this.#parts;
-    const rate = RUSH_PART * perSecond * this.#fadeMs / 1_000;
-    return rate + PLANNED_EXCESS * slack;
+    const rate = MAX_RATE_FACTOR * perSecond * this.#decayTimeMs / 1_000;
+    return rate + PLANNED_EXCESS_FRACTION * slack;
   }
 
   /**
    * Returns the probability with which a call is admitted: 1 until calls that others may
    * have admitted without a report yet could exceed the budget, and 0 at its end.
    */
-  #computeChance(left: number, asked: number, mayUse: number): number {
+  #computeAdmissionProbability(
+    left: number,
+    asked: number,
+    mayUse: number,
+  ): number {
     if (left <= 0) return 0;
-    const unseen = asked / this.#fadeMs * UNSEEN_MS / mayUse;
-    const tapered = Math.min(MOST_TAPERED, Math.max(LEAST_TAPERED, unseen));
-    return Math.min(1, left / (tapered * mayUse));
+    const unreported = asked / this.#decayTimeMs * REPORT_DELAY_MS / mayUse;
+    const taperedFraction = Math.min(
+      MAX_TAPERED_FRACTION,
+      Math.max(MIN_TAPERED_FRACTION, unreported),
+    );
+    return Math.min(1, left / (taperedFraction * mayUse));
   }
 
   /** Returns the fraction of the limit that the reporting instances may use together. */
-  #readPart(
+  #computeUsableFraction(
     bucket: Bucket,
     others: readonly RegionUse[],
     nowMs: number,
   ): number {
-    if (nowMs - this.#countedMs > COUNT_VALID_MS) return 1 / this.#known;
-    const heard = sumOf(this.#counts, (count) => count.heard);
-    if (heard >= this.#known) {
-      bucket.parts = this.#computeParts(bucket, others);
+    if (nowMs - this.#countedMs > COUNT_VALID_MS) return 1 / this.#knownCount;
+    const reporting = sumOf(this.#counts, (count) => count.heard);
+    if (reporting >= this.#knownCount) {
+      bucket.parts = this.#computeRegionFractions(bucket, others);
       return 1;
     }
     const { parts } = bucket;
-    if (parts === undefined) return heard / this.#known;
+    if (parts === undefined) return reporting / this.#knownCount;
     return Math.min(
       1,
       sumOf(
@@ -336,7 +350,7 @@
   }
 
   /** Returns the fraction of the demand in each region; each instance adds a small constant. */
-  #computeParts(
+  #computeRegionFractions(
     bucket: Bucket,
     others: readonly RegionUse[],
   ): ReadonlyMap<RegionId, number> {
@@ -347,8 +361,9 @@
         others.filter((use) => use.region === region),
         (use) => use.asked,
       );
-      const own = region === ownRegion ? bucket.asked : 0;
-      return asked + own + EVEN_PART * budget * known / this.#known;
+      const own = region === ownRegion ? bucket.demand : 0;
+      return asked + own +
+        EVEN_DEMAND_FRACTION * budget * known / this.#knownCount;
     };
     const total = sumOf(this.#counts, weigh);
     return new Map(
@@ -361,7 +376,7 @@
    * admitted, and jittered, so that callers do not retry all at once.
    */
   #pickRetryMs(chance: number): number {
-    const waitMs = LEAST_RETRY_MS + (1 - chance) * ADDED_RETRY_MS;
+    const waitMs = MIN_RETRY_MS + (1 - chance) * MAX_ADDED_RETRY_MS;
     return Math.round(waitMs * (1 + this.#parts.random.nextFloat()));
   }
 }
--- a/admission/fleet_limits_test.ts
+++ b/admission/fleet_limits_test.ts
@@ -95,8 +95,8 @@
     const limits = createLimits({ startedMs: NOW_MS });
     limits.setCounts([{ region: NORTH, known: 10, heard: 10 }], 10, NOW_MS);
     assert.ok(admitMany(limits, 1) <= BUDGET);
-    const told = limits.listOwn(NOW_MS)[0]!;
-    assert.ok(told.used >= 0.9 * BUDGET / 10);
+    const reported = limits.listOwn(NOW_MS)[0]!;
+    assert.ok(reported.used >= 0.9 * BUDGET / 10);
   });
 
   it("admits only its equal share while the counts of instances are outdated", () => {
--- a/admission/team_limits.ts
+++ b/admission/team_limits.ts
@@ -11,7 +11,7 @@
   readonly lifetimeMs: number;
 }
 
-/** A team's rate that an instance needs from others. */
+/** The rate of a team that an instance needs to borrow. */
 export interface BorrowWish {
   readonly team: TeamId;
   /** Requests per second. */
@@ -22,15 +22,18 @@
 export const LOAN_LIFETIME_MS = 2_000;
 const BURST_SECONDS = 1;
 const DEMAND_WINDOW_MS = 1_000;
-const DEMAND_MEMORY = 0.2;
+const PREVIOUS_DEMAND_WEIGHT = 0.2;
 const LEND_MARGIN = 1.1;
 /** Fraction of its share, and requests of its burst, that a lender keeps for new demand. */
 const KEPT_SHARE = 0.06;
 const KEPT_TOKENS = 1;
-const LEAST_WISH = 0.05;
+const MIN_SHORTFALL = 0.05;
 /** Factor by which a borrower asks for more than it needs now, to cover growing demand. */
 const BORROW_MARGIN = 1.5;
-/** Time until others know of a new instance, which uses a part of its share, in milliseconds. */
+/**
+ * Time in which a new instance uses only a part of its share, until the others know of it, in
+ * milliseconds.
+ */
 export const SETTLE_MS = 4_000;
 const SETTLING_SHARE = 0.4;
 
@@ -44,7 +47,7 @@
 interface TeamBucket {
   limit: number;
   tokens: number;
-  filledMs: number;
+  refilledMs: number;
   demand: number;
   windowStartMs: number;
   windowCount: number;
@@ -105,7 +108,7 @@
   ): { readonly retryAfterMs: number } | undefined {
     const bucket = this.#readBucket(team, limit, nowMs);
     const rate = this.#computeRate(team, bucket, nowMs);
-    this.#fill(bucket, rate, nowMs);
+    this.#refill(bucket, rate, nowMs);
     const capacity = Math.max(1, rate * BURST_SECONDS);
     if (bucket.tokens >= Math.min(weight, capacity)) {
       bucket.tokens -= weight;
@@ -124,11 +127,11 @@
     return [...this.#buckets]
       .map(([team, bucket]) => {
         this.#rollWindow(bucket, nowMs);
-        const own = this.#computeOwn(team, bucket, nowMs);
+        const own = this.#computeOwnRate(team, bucket, nowMs);
         const target = Math.min(bucket.limit, bucket.demand * BORROW_MARGIN);
         return { team, wanted: target - own };
       })
-      .filter(({ wanted }) => wanted > LEAST_WISH);
+      .filter(({ wanted }) => wanted > MIN_SHORTFALL);
   }
 
   /** Returns the rate of a valid loan from a lender, in requests per second, or 0. */
@@ -143,39 +146,40 @@
    * Lends unused rate to another instance. It replaces an earlier loan to the
    * same borrower, which renews that loan; a loan never shrinks before it expires.
    *
-   * @param wish Total rate that the borrower requests of this instance.
+   * @param request Total rate that the borrower requests of this instance.
    * @param limit Limit of the team over all instances, in requests per second.
    * @param nowMs Current time, in milliseconds.
    */
-  lend(wish: BorrowRequest, limit: number, nowMs: number): RateLoan {
-    const bucket = this.#readBucket(wish.team, limit, nowMs);
+  lend(request: BorrowRequest, limit: number, nowMs: number): RateLoan {
+    const bucket = this.#readBucket(request.team, limit, nowMs);
     this.#rollWindow(bucket, nowMs);
-    this.#fill(bucket, this.#computeRate(wish.team, bucket, nowMs), nowMs);
-    const known = bucket.lent.find(({ party }) => party === wish.from)?.rate ??
-      0;
-    const own = this.#computeOwn(wish.team, bucket, nowMs) + known;
+    this.#refill(bucket, this.#computeRate(request.team, bucket, nowMs), nowMs);
+    const lentRate =
+      bucket.lent.find(({ party }) => party === request.from)?.rate ??
+        0;
+    const own = this.#computeOwnRate(request.team, bucket, nowMs) + lentRate;
     const spare = Math.max(
       0,
       own * (1 - KEPT_SHARE) - bucket.demand * LEND_MARGIN,
     );
-    const rate = Math.max(known, Math.min(spare, wish.wanted));
+    const rate = Math.max(lentRate, Math.min(spare, request.wanted));
     const refusal = {
-      team: wish.team,
+      team: request.team,
       rate: 0,
       tokens: 0,
       lifetimeMs: LOAN_LIFETIME_MS,
     };
     // A loan whose rate is no longer unused here is not renewed, and expires.
-    if (rate <= 0 || spare < known) return refusal;
+    if (rate <= 0 || spare < lentRate) return refusal;
     bucket.lent = [
-      ...bucket.lent.filter(({ party }) => party !== wish.from),
-      { party: wish.from, rate, expiresMs: nowMs + LOAN_LIFETIME_MS },
+      ...bucket.lent.filter(({ party }) => party !== request.from),
+      { party: request.from, rate, expiresMs: nowMs + LOAN_LIFETIME_MS },
     ];
     // Tokens move with the rate, so that their sum over all instances stays the same.
     const tokens = Math.max(0, bucket.tokens - KEPT_TOKENS) *
-      Math.min(1, (rate - known) / own);
+      Math.min(1, (rate - lentRate) / own);
     bucket.tokens -= tokens;
-    return { team: wish.team, rate, tokens, lifetimeMs: LOAN_LIFETIME_MS };
+    return { team: request.team, rate, tokens, lifetimeMs: LOAN_LIFETIME_MS };
   }
 
   /**
@@ -192,7 +196,7 @@
   ): void {
     const bucket = this.#buckets.get(loan.team);
     if (bucket === undefined || loan.rate <= 0) return;
-    this.#fill(
+    this.#refill(
       bucket,
       this.#computeRate(loan.team, bucket, at.nowMs),
       at.nowMs,
@@ -223,7 +227,7 @@
     const bucket: TeamBucket = {
       limit,
       tokens: 0,
-      filledMs: nowMs,
+      refilledMs: nowMs,
       demand: 0,
       windowStartMs: nowMs,
       windowCount: 0,
@@ -231,11 +235,11 @@
       borrowed: [],
     };
     this.#buckets.set(team, bucket);
-    bucket.tokens = this.#computeBase(team, bucket, nowMs) * BURST_SECONDS;
+    bucket.tokens = this.#computeBaseRate(team, bucket, nowMs) * BURST_SECONDS;
     return bucket;
   }
 
-  #computeBase(team: TeamId, bucket: TeamBucket, nowMs: number): number {
+  #computeBaseRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
     const isSettling = nowMs - this.#parts.startedMs < SETTLE_MS &&
       this.#parts.isJoining();
     const part = isSettling ? SETTLING_SHARE : 1;
@@ -243,7 +247,7 @@
   }
 
   #computeRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
-    const own = this.#computeOwn(team, bucket, nowMs);
+    const own = this.#computeOwnRate(team, bucket, nowMs);
     bucket.borrowed = bucket.borrowed.filter(({ expiresMs }) =>
       expiresMs > nowMs
     );
@@ -251,17 +255,17 @@
   }
 
   /** Returns the base share less the rates that are lent, in requests per second. */
-  #computeOwn(team: TeamId, bucket: TeamBucket, nowMs: number): number {
+  #computeOwnRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
     bucket.lent = bucket.lent.filter(({ expiresMs }) => expiresMs > nowMs);
     return Math.max(
       0,
-      this.#computeBase(team, bucket, nowMs) - sumRates(bucket.lent),
+      this.#computeBaseRate(team, bucket, nowMs) - sumRates(bucket.lent),
     );
   }
 
-  #fill(bucket: TeamBucket, rate: number, nowMs: number): void {
-    const elapsedSeconds = Math.max(0, nowMs - bucket.filledMs) / 1_000;
-    bucket.filledMs = nowMs;
+  #refill(bucket: TeamBucket, rate: number, nowMs: number): void {
+    const elapsedSeconds = Math.max(0, nowMs - bucket.refilledMs) / 1_000;
+    bucket.refilledMs = nowMs;
     const capacity = Math.max(1, rate * BURST_SECONDS);
     bucket.tokens = Math.min(capacity, bucket.tokens + elapsedSeconds * rate);
   }
@@ -279,10 +283,11 @@
   #rollWindow(bucket: TeamBucket, nowMs: number): void {
     const elapsedMs = nowMs - bucket.windowStartMs;
     if (elapsedMs < DEMAND_WINDOW_MS) return;
-    const seen = bucket.windowCount / (elapsedMs / 1_000);
-    bucket.demand = seen > bucket.demand
-      ? seen
-      : bucket.demand * DEMAND_MEMORY + seen * (1 - DEMAND_MEMORY);
+    const measured = bucket.windowCount / (elapsedMs / 1_000);
+    bucket.demand = measured > bucket.demand
+      ? measured
+      : bucket.demand * PREVIOUS_DEMAND_WEIGHT +
+        measured * (1 - PREVIOUS_DEMAND_WEIGHT);
     bucket.windowStartMs = nowMs;
     bucket.windowCount = 0;
   }
