--- a/store/circuit.ts
+++ b/store/circuit.ts
@@ -16,8 +16,8 @@
   | { readonly kind: "failed"; readonly nowMs: number };
 
 const FAILURES_TO_OPEN = 3;
-const FIRST_PAUSE_MS = 200;
-const LONGEST_PAUSE_MS = 5_000;
+const INITIAL_PAUSE_MS = 200;
+const MAX_PAUSE_MS = 5_000;
 
 /** State of a circuit breaker before the first call. */
 export const CLOSED_CIRCUIT: CircuitState = { kind: "closed", failures: 0 };
@@ -41,8 +41,8 @@
     return { kind: "closed", failures: state.failures + 1 };
   }
   const tries = state.kind === "closed" ? 0 : state.tries + 1;
-  const longestMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** tries);
-  const pauseMs = longestMs * (0.5 + random.nextFloat() / 2);
+  const maxPauseMs = Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** tries);
+  const pauseMs = maxPauseMs * (0.5 + random.nextFloat() / 2);
   return { kind: "open", tries, retryAtMs: event.nowMs + pauseMs };
 }
 
--- a/store/guarded_store.ts
+++ b/store/guarded_store.ts
@@ -9,8 +9,8 @@
 import type { StoreBudget } from "./store_budget.ts";
 import type {
   Store,
+  StoreCallClass,
   StoreCallOptions,
-  StoreClass,
   StoreEntry,
   StoreEvent,
   StoreFailure,
@@ -40,14 +40,14 @@
  * Maximum time for which a call waits for the budget, by class, in milliseconds. Callers
  * wait for journal writes, so that time is short; batches can wait longer.
  */
-const BUDGET_PATIENCE_MS: Readonly<Record<StoreClass, number>> = {
+const MAX_BUDGET_WAIT_MS: Readonly<Record<StoreCallClass, number>> = {
   journal: 300,
   lease: 300,
   configuration: 300,
   batch: 3_000,
   usage: 0,
 };
-const BUDGET_WAIT_MS = 30;
+const BUDGET_POLL_INTERVAL_MS = 30;
 
 /**
  * The only store client of a daemon. Every call has a deadline and takes from the
@@ -132,15 +132,15 @@
         message: "Cannot reach the store: the circuit is open",
       });
     }
-    if (!await this.#admitToBudget(options.callClass ?? "configuration")) {
+    if (!await this.#waitForBudget(options.callClass ?? "configuration")) {
       return err({
         kind: "over-budget",
         message: "Cannot call the store: the budget is spent",
       });
     }
     this.#setCircuit(admission.state);
-    const answered = this.#withDeadline(run(store)).then((result) => {
-      this.#learn(result);
+    const answered = this.#awaitWithDeadline(run(store)).then((result) => {
+      this.#recordOutcome(result);
       return result;
     });
     if (admission.state.kind === "half-open") {
@@ -150,33 +150,33 @@
   }
 
   /** Waits for the budget up to the maximum of the class; returns whether the call may be sent. */
-  async #admitToBudget(callClass: StoreClass): Promise<boolean> {
+  async #waitForBudget(callClass: StoreCallClass): Promise<boolean> {
     const { budget, clock } = this.#parts;
     const startMs = clock.nowMs();
     while (!budget.admit(callClass, clock.nowMs())) {
-      if (clock.nowMs() - startMs >= BUDGET_PATIENCE_MS[callClass]) {
+      if (clock.nowMs() - startMs >= MAX_BUDGET_WAIT_MS[callClass]) {
         return false;
       }
-      await waitFor(clock, BUDGET_WAIT_MS);
+      await waitFor(clock, BUDGET_POLL_INTERVAL_MS);
     }
     return true;
   }
 
-  async #withDeadline<T>(call: StoreResult<T>): StoreResult<T> {
+  async #awaitWithDeadline<T>(call: StoreResult<T>): StoreResult<T> {
     const timer = new AbortController();
-    const late = waitFor(this.#parts.clock, this.#deadlineMs, timer.signal)
+    const timeout = waitFor(this.#parts.clock, this.#deadlineMs, timer.signal)
       .then(() =>
         err<T, StoreFailure>({
           kind: "unknown",
           message: "Cannot await the store: deadline passed",
         })
       );
-    const result = await Promise.race([call, late]);
+    const result = await Promise.race([call, timeout]);
     timer.abort("answered");
     return result;
   }
 
-  #learn<T>(result: Result<T, StoreFailure>): void {
+  #recordOutcome<T>(result: Result<T, StoreFailure>): void {
     const { clock, random } = this.#parts;
     if (result.isErr() && result.error.kind === "too-large") return;
     const event = result.isOk()
--- a/store/store.ts
+++ b/store/store.ts
@@ -47,7 +47,7 @@
 }
 
 /** Classes of store calls, in descending order of priority. */
-export type StoreClass =
+export type StoreCallClass =
   | "journal"
   | "lease"
   | "configuration"
@@ -57,7 +57,7 @@
 /** Options of a store call. */
 export interface StoreCallOptions {
   /** Class that decides the priority in the call budget. Default: `"configuration"`. */
-  readonly callClass?: StoreClass;
+  readonly callClass?: StoreCallClass;
   /** Cancels the call. Default: none. */
   readonly signal?: AbortSignal;
 }
--- a/store/store_budget.ts
+++ b/store/store_budget.ts
@@ -1,7 +1,7 @@
-import type { StoreClass } from "./store.ts";
+import type { StoreCallClass } from "./store.ts";
 
-/** Fraction of the bucket that each class leaves for the classes of higher priority. */
-const RESERVES: Readonly<Record<StoreClass, number>> = {
+/** Fraction of the bucket that each class leaves for those of higher priority, which precede it. */
+const RESERVES: Readonly<Record<StoreCallClass, number>> = {
   journal: 0,
   lease: 0.1,
   configuration: 0.2,
@@ -14,7 +14,7 @@
  * burst, so that the calls of any one second do not exceed the share.
  */
 const STEADY_SHARE = 0.8;
-const LEAST_BURST = 4;
+const MIN_BURST = 4;
 
 /**
  * A token bucket for all store calls of one daemon. A class may only take tokens
@@ -24,7 +24,7 @@
   #tokens: number;
   #capacity = 0;
   #steadyPerSecond = 0;
-  #filledMs: number;
+  #refilledMs: number;
 
   /**
    * @param callsPerSecond Calls a second that this daemon may send.
@@ -32,27 +32,27 @@
    */
   constructor(callsPerSecond: number, nowMs: number) {
     this.#tokens = Infinity;
-    this.#filledMs = nowMs;
+    this.#refilledMs = nowMs;
     this.setRate(callsPerSecond);
   }
 
   /** Sets the calls a second, after the number of live instances has changed. */
   setRate(callsPerSecond: number): void {
     this.#steadyPerSecond = callsPerSecond * STEADY_SHARE;
-    this.#capacity = Math.max(LEAST_BURST, callsPerSecond * (1 - STEADY_SHARE));
+    this.#capacity = Math.max(MIN_BURST, callsPerSecond * (1 - STEADY_SHARE));
     this.#tokens = Math.min(this.#tokens, this.#capacity);
   }
 
   /**
-   * Takes one token if the bucket holds more than the reserve of the class.
+   * Takes one token if the bucket still holds the reserve of the class without it.
    *
    * @param callClass Class of the call.
    * @param nowMs Current time, in milliseconds.
    * @returns Whether the call may be sent.
    */
-  admit(callClass: StoreClass, nowMs: number): boolean {
-    const elapsedSeconds = Math.max(0, nowMs - this.#filledMs) / 1000;
-    this.#filledMs = nowMs;
+  admit(callClass: StoreCallClass, nowMs: number): boolean {
+    const elapsedSeconds = Math.max(0, nowMs - this.#refilledMs) / 1000;
+    this.#refilledMs = nowMs;
     this.#tokens = Math.min(
       this.#capacity,
       this.#tokens + elapsedSeconds * this.#steadyPerSecond,
--- a/store/store_test.ts
+++ b/store/store_test.ts
@@ -108,7 +108,7 @@
         random: createRandom(3),
         budget: new StoreBudget(30, clock.nowMs()),
       });
-      const perSecond: number[] = [];
+      const callsPerSecond: number[] = [];
       let backAfterMs = -1;
       for (let second = 0; second < 60; second++) {
         if (second === 10) store.setDown(true);
@@ -118,13 +118,16 @@
           void guarded.read("key", { callClass: "journal" });
           await clock.advance(10);
         }
-        perSecond.push(store.counts.reads - before);
+        callsPerSecond.push(store.counts.reads - before);
         const isBack = second >= 40 && guarded.isReachable;
         if (isBack && backAfterMs < 0) backAfterMs = (second - 39) * 1_000;
       }
-      assert.ok(Math.max(...perSecond) <= 30, `calls a second: ${perSecond}`);
       assert.ok(
-        Math.max(...perSecond.slice(12, 40)) <= 3,
+        Math.max(...callsPerSecond) <= 30,
+        `calls a second: ${callsPerSecond}`,
+      );
+      assert.ok(
+        Math.max(...callsPerSecond.slice(12, 40)) <= 3,
         "few probes while it is down",
       );
       assert.ok(
--- a/store/write_change.ts
+++ b/store/write_change.ts
@@ -42,7 +42,7 @@
 
 /** Number of change ids that a document holds, so that a writer can find its own among them. */
 export const KEPT_CHANGE_IDS = 32;
-const MAX_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 
 /**
  * Changes one document by compare-and-swap. If the response to a write is lost, the
@@ -61,7 +61,7 @@
 ): Promise<Result<ChangeOutcome<T>, StoreFailure>> {
   let known = change.known;
   let isUncertain = false;
-  for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     if (known === undefined) {
       const read = await store.read(change.key, options);
       if (read.isErr()) {
@@ -103,7 +103,7 @@
     known = undefined;
   }
   const message =
-    `Cannot change ${change.key}: no success in ${MAX_TRIES} tries`;
+    `Cannot change ${change.key}: no success in ${MAX_ATTEMPTS} tries`;
   return err({ kind: isUncertain ? "unknown" : "unavailable", message });
 }
 
