--- a/teams/describe_team_changes.ts
+++ b/teams/describe_team_changes.ts
@@ -36,13 +36,13 @@
   if (added.length + removed.length + changed.length === 0) return undefined;
   return {
     teams: after?.teams.length ?? 0,
-    keysAdded: listSome(added.map(toDigest)),
-    keysRemoved: listSome(removed.map(toDigest)),
-    changed: listSome(changed.map(({ id }) => id)),
+    keysAdded: formatNames(added.map(toDigest)),
+    keysRemoved: formatNames(removed.map(toDigest)),
+    changed: formatNames(changed.map(({ id }) => id)),
   };
 }
 
-function listSome(names: readonly string[]): string {
+function formatNames(names: readonly string[]): string {
   const more = names.length - MAX_NAMES;
   const shown = names.slice(0, MAX_NAMES).join(" ");
   return more > 0 ? `${shown} and ${more} more` : shown;
--- a/teams/identify_team.ts
+++ b/teams/identify_team.ts
@@ -3,7 +3,7 @@
 import type { Team } from "./team.ts";
 import type { TeamTable } from "./team_table.ts";
 
-/** Scheme, spaces and a key without spaces (RFC 6750). No valid key is longer. */
+/** Scheme, spaces and a key without spaces (RFC 6750). No issued key is longer. */
 const BEARER = /^Bearer +(\S{1,512})$/i;
 /** Digits of a key's hash that logs may show: they distinguish keys without revealing them. */
 const DIGEST_DIGITS = 8;
