--- a/relay/continuation.ts
+++ b/relay/continuation.ts
@@ -56,8 +56,8 @@
   const isJoinable = (body.n ?? 1) === 1 && body.tools === undefined &&
     body.logprobs === undefined && body.response_format === undefined;
   if (!isJoinable) return undefined;
-  const limit = readLimit(body);
-  const rest = limit === undefined
+  const limit = readTokenLimit(body);
+  const remainingLimit = limit === undefined
     ? {}
     : { [limit.field]: limit.value - delivered.tokens };
   if (limit !== undefined && limit.value <= delivered.tokens) return undefined;
@@ -68,17 +68,17 @@
     }];
     return {
       ...body,
-      ...rest,
+      ...remainingLimit,
       messages,
       continue_final_message: true,
       add_generation_prompt: false,
     };
   }
   if (typeof body.prompt !== "string") return undefined;
-  return { ...body, ...rest, prompt: body.prompt + delivered.text };
+  return { ...body, ...remainingLimit, prompt: body.prompt + delivered.text };
 }
 
-function readLimit(
+function readTokenLimit(
   body: Readonly<Record<string, unknown>>,
 ): { readonly field: string; readonly value: number } | undefined {
   const field = ["max_completion_tokens", "max_tokens"].find((name) =>
--- a/relay/event_sequence.ts
+++ b/relay/event_sequence.ts
@@ -20,7 +20,7 @@
   /** Too many events are buffered: the one that they wait for is lost. */
   | { readonly kind: "gap" };
 
-const MAX_HELD = 64;
+const MAX_BUFFERED = 64;
 
 /**
  * Delivers the events of one attempt, each once and in order. Events of other
@@ -33,7 +33,7 @@
   #next: number;
   #isEnded = false;
   readonly #attempt: string;
-  readonly #held = new Map<number, string>();
+  readonly #buffered = new Map<number, string>();
 
   /**
    * @param attempt Attempt whose events are delivered.
@@ -66,22 +66,27 @@
       return { kind: "deliver", data: [], isEnded: this.#isEnded };
     }
     if (
-      this.#isEnded || event.index < this.#next || this.#held.has(event.index)
+      this.#isEnded || event.index < this.#next ||
+      this.#buffered.has(event.index)
     ) {
       this.counts.duplicate++;
       return { kind: "deliver", data: [], isEnded: this.#isEnded };
     }
     if (event.index > this.#next) {
       this.counts.early++;
-      this.#held.set(event.index, event.data);
-      return this.#held.size > MAX_HELD
+      this.#buffered.set(event.index, event.data);
+      return this.#buffered.size > MAX_BUFFERED
         ? { kind: "gap" }
         : { kind: "deliver", data: [], isEnded: false };
     }
     const data = [event.data];
     this.#next++;
-    for (let held = this.#take(); held !== undefined; held = this.#take()) {
-      data.push(held);
+    for (
+      let buffered = this.#takeBuffered();
+      buffered !== undefined;
+      buffered = this.#takeBuffered()
+    ) {
+      data.push(buffered);
     }
     const end = data.indexOf(END_OF_STREAM);
     if (end >= 0) this.#isEnded = true;
@@ -92,10 +97,10 @@
     };
   }
 
-  #take(): string | undefined {
-    const data = this.#held.get(this.#next);
+  #takeBuffered(): string | undefined {
+    const data = this.#buffered.get(this.#next);
     if (data === undefined) return undefined;
-    this.#held.delete(this.#next);
+    this.#buffered.delete(this.#next);
     this.#next++;
     return data;
   }
