--- a/admission/admission_queue.ts
+++ b/admission/admission_queue.ts
@@ -4,39 +4,39 @@
 import { createFailure, type Failure } from "../results/mod.ts";
 import { PRIORITIES, type Priority } from "./priority.ts";
 
-/** A request that asks to be let in. */
+/** A request for admission of a call. */
 export interface AdmissionRequest {
   readonly team: TeamId;
   readonly priority: Priority;
-  /** When its answer is due, in milliseconds since the epoch. */
+  /** Deadline of the answer, in milliseconds since the epoch. */
   readonly dueMs: number;
-  /** How long the work is estimated to take, in milliseconds. */
+  /** Estimated duration of the work, in milliseconds. */
   readonly workMs: number;
-  /** The caller went away. */
+  /** Aborts when the caller has disconnected. */
   readonly signal: AbortSignal;
 }
 
-/** Why a request was not let in. */
+/** Success if the request was admitted, otherwise the reason for its refusal. */
 export type AdmissionResult = Result<void, Failure>;
 
-/** What a queue is created from. */
+/** Constructor arguments of {@linkcode AdmissionQueue}. */
 export interface AdmissionParts {
   readonly clock: Clock;
-  /** Whether a request of a class could start now. */
+  /** Returns whether there is capacity to start a request of a class now. */
   readonly hasRoom: (priority: Priority) => boolean;
-  /** Called for each request that is let in, before the next one is looked at. */
+  /** Called for each admitted request, before the next one is considered. */
   readonly recordStart: (priority: Priority) => void;
 }
 
-/** Optional parts of a queue. */
+/** Options of {@linkcode AdmissionQueue}. */
 export interface AdmissionOptions {
-  /** Most requests that wait. Default: 1,000. */
+  /** Maximum number of waiting requests. Default: 1,000. */
   readonly maxLength?: number;
-  /** Longest wait of an interactive request, in milliseconds. Default: 2,000. */
+  /** Maximum wait of an interactive request, in milliseconds. Default: 2,000. */
   readonly maxInteractiveWaitMs?: number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly request: AdmissionRequest;
   readonly order: number;
   readonly settle: (result: AdmissionResult) => void;
@@ -47,30 +47,31 @@
 const SWEEP_INTERVAL_MS = 20;
 const RATE_WINDOW_MS = 2_000;
 const FAIRNESS_DECAY = 0.98;
-const RETRY_FLOOR_MS = 100;
+const MIN_RETRY_MS = 100;
 
 /**
- * Lets requests in while there is room, and queues the others: higher classes
- * first, inside a class the team that had least lately, inside a team by
- * deadline. What cannot be done in time is refused at once.
+ * Admits requests while there is capacity, and queues the others: higher classes
+ * first, within a class the team with the fewest recent admissions, within a
+ * team the earliest deadline. Requests that cannot complete in time are refused
+ * at once.
  */
 export class AdmissionQueue {
-  /** Requests that were refused, by reason. */
+  /** Number of refused requests, by reason. */
   readonly refused = { overloaded: 0, late: 0, shed: 0 };
   readonly #parts: AdmissionParts;
   readonly #maxLength: number;
   readonly #maxInteractiveWaitMs: number;
-  readonly #waiting = new Map<Priority, Waiting[]>(
+  readonly #waiting = new Map<Priority, WaitingRequest[]>(
     PRIORITIES.map((priority) => [priority, []]),
   );
-  readonly #served = new Map<TeamId, number>();
-  #startedMs: number[] = [];
-  #order = 0;
+  readonly #recentStarts = new Map<TeamId, number>();
+  #startTimesMs: number[] = [];
+  #nextOrder = 0;
   #isSweeping = false;
 
   /**
-   * @param parts Clock and room.
-   * @param options Bounds.
+   * @param parts Clock and capacity.
+   * @param options Bounds of the queue.
    */
   constructor(parts: AdmissionParts, options: AdmissionOptions = {}) {
     this.#parts = parts;
@@ -79,28 +80,28 @@
       DEFAULT_INTERACTIVE_WAIT_MS;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get length(): number {
     return PRIORITIES.reduce(
-      (sum, priority) => sum + this.#read(priority).length,
+      (sum, priority) => sum + this.#getQueue(priority).length,
       0,
     );
   }
 
   /**
-   * Resolves when the request may start, or with the reason why not. The caller
-   * calls {@linkcode wake} when room may have come free.
+   * Resolves when the request may start, or with the reason for its refusal. The
+   * owner of the queue calls {@linkcode wake} when capacity may have become free.
    *
-   * @param request Who asks, how urgent, until when.
+   * @param request Team, class, deadline and estimated duration of the call.
    */
   admit(request: AdmissionRequest): Promise<AdmissionResult> {
     const nowMs = this.#parts.clock.nowMs();
     if (request.dueMs <= nowMs + request.workMs) {
       this.refused.late++;
-      return Promise.resolve(err(createLate(request, nowMs)));
+      return Promise.resolve(err(createLateFailure(request, nowMs)));
     }
     if (
-      this.#countUpTo(request.priority) === 0 &&
+      this.#countWaitingUpTo(request.priority) === 0 &&
       this.#parts.hasRoom(request.priority)
     ) {
       this.#recordStart(request, nowMs);
@@ -111,12 +112,14 @@
     return new Promise((resolve) => this.#enqueue(request, resolve));
   }
 
-  /** Starts whatever may start now. */
+  /** Refuses requests that can no longer complete in time, and admits others up to the capacity. */
   wake(): void {
     const nowMs = this.#parts.clock.nowMs();
-    this.#dropLate(nowMs);
+    this.#refuseLate(nowMs);
     PRIORITIES.forEach((priority) => {
-      while (this.#read(priority).length > 0 && this.#parts.hasRoom(priority)) {
+      while (
+        this.#getQueue(priority).length > 0 && this.#parts.hasRoom(priority)
+      ) {
         const next = this.#takeNext(priority);
         this.#recordStart(next.request, nowMs);
         next.settle(ok(undefined));
@@ -126,70 +129,74 @@
 
   /** Estimates how long a new request of a class would wait, in milliseconds. */
   estimateWaitMs(priority: Priority, nowMs: number): number {
-    const ahead = this.#countUpTo(priority);
+    const ahead = this.#countWaitingUpTo(priority);
     if (ahead === 0) return 0;
-    this.#startedMs = this.#startedMs.filter((startMs) =>
+    this.#startTimesMs = this.#startTimesMs.filter((startMs) =>
       nowMs - startMs < RATE_WINDOW_MS
     );
-    const perMs = Math.max(1, this.#startedMs.length) / RATE_WINDOW_MS;
+    const perMs = Math.max(1, this.#startTimesMs.length) / RATE_WINDOW_MS;
     return ahead / perMs;
   }
 
-  #read(priority: Priority): Waiting[] {
+  #getQueue(priority: Priority): WaitingRequest[] {
     return this.#waiting.get(priority)!;
   }
 
-  #countUpTo(priority: Priority): number {
+  #countWaitingUpTo(priority: Priority): number {
     return PRIORITIES.slice(0, PRIORITIES.indexOf(priority) + 1)
-      .reduce((sum, each) => sum + this.#read(each).length, 0);
+      .reduce((sum, each) => sum + this.#getQueue(each).length, 0);
   }
 
   #refuseEarly(request: AdmissionRequest, nowMs: number): Failure | undefined {
     const waitMs = this.estimateWaitMs(request.priority, nowMs);
     const leftMs = request.dueMs - nowMs - request.workMs;
-    const longestMs = request.priority === "interactive"
+    const maxWaitMs = request.priority === "interactive"
       ? Math.min(leftMs, this.#maxInteractiveWaitMs)
       : leftMs;
-    if (waitMs > longestMs && !this.#makeRoomFor(request)) {
+    if (waitMs > maxWaitMs && !this.#makeRoomFor(request)) {
       this.refused.overloaded++;
-      return createOverloaded(waitMs - longestMs);
+      return createOverloadedFailure(waitMs - maxWaitMs);
     }
     if (this.length < this.#maxLength) return undefined;
     if (this.#shedBelow(request.priority)) return undefined;
     this.refused.overloaded++;
-    return createOverloaded(waitMs);
+    return createOverloadedFailure(waitMs);
   }
 
   /**
-   * Makes room for a team that has less than its part of a full queue: the
-   * newest waiting request of the team that has most is refused in its place.
+   * Makes room for a team with less than its share of a full queue by refusing
+   * the newest waiting request of the team that has the most.
    */
   #makeRoomFor(request: AdmissionRequest): boolean {
-    const queue = this.#read(request.priority);
+    const queue = this.#getQueue(request.priority);
     const byTeam = new Map<TeamId, number>();
     queue.forEach(({ request: { team } }) =>
       byTeam.set(team, (byTeam.get(team) ?? 0) + 1)
     );
-    const [most, count] = [...byTeam].reduce(
+    const [largestTeam, count] = [...byTeam].reduce(
       (first, other) => other[1] > first[1] ? other : first,
       [request.team, 0] as [TeamId, number],
     );
     if (count <= (byTeam.get(request.team) ?? 0) + 1) return false;
-    const at = queue.findLastIndex((waiting) => waiting.request.team === most);
+    const at = queue.findLastIndex((waiting) =>
+      waiting.request.team === largestTeam
+    );
     const [shed] = queue.splice(at, 1);
     this.refused.shed++;
-    shed!.settle(err(createOverloaded(RATE_WINDOW_MS)));
+    shed!.settle(err(createOverloadedFailure(RATE_WINDOW_MS)));
     return true;
   }
 
-  /** Refuses the newest waiting request of a lower class, to make place. */
+  /** Makes room by refusing the newest request of the lowest waiting class below this one. */
   #shedBelow(priority: Priority): boolean {
     const lower = PRIORITIES.slice(PRIORITIES.indexOf(priority) + 1)
       .toReversed();
-    const from = lower.find((each) => this.#read(each).length > 0);
+    const from = lower.find((each) => this.#getQueue(each).length > 0);
     if (from === undefined) return false;
     this.refused.shed++;
-    this.#read(from).pop()!.settle(err(createOverloaded(RATE_WINDOW_MS)));
+    this.#getQueue(from).pop()!.settle(
+      err(createOverloadedFailure(RATE_WINDOW_MS)),
+    );
     return true;
   }
 
@@ -197,8 +204,8 @@
     request: AdmissionRequest,
     resolve: (result: AdmissionResult) => void,
   ): void {
-    const leave = () => {
-      const queue = this.#read(request.priority);
+    const cancel = () => {
+      const queue = this.#getQueue(request.priority);
       const at = queue.indexOf(waiting);
       if (at < 0) return;
       queue.splice(at, 1);
@@ -211,21 +218,21 @@
         ),
       );
     };
-    const waiting: Waiting = {
+    const waiting: WaitingRequest = {
       request,
-      order: this.#order++,
+      order: this.#nextOrder++,
       settle: (result) => {
-        request.signal.removeEventListener("abort", leave);
+        request.signal.removeEventListener("abort", cancel);
         resolve(result);
       },
     };
-    this.#read(request.priority).push(waiting);
-    request.signal.addEventListener("abort", leave, { once: true });
-    this.#sweepLater();
+    this.#getQueue(request.priority).push(waiting);
+    request.signal.addEventListener("abort", cancel, { once: true });
+    this.#scheduleSweep();
   }
 
-  #takeNext(priority: Priority): Waiting {
-    const queue = this.#read(priority);
+  #takeNext(priority: Priority): WaitingRequest {
+    const queue = this.#getQueue(priority);
     const best = queue.reduce((first, other) =>
       this.#isBefore(other, first) ? other : first
     );
@@ -233,11 +240,11 @@
     return best;
   }
 
-  #isBefore(a: Waiting, b: Waiting): boolean {
-    const servedA = this.#served.get(a.request.team) ?? 0;
-    const servedB = this.#served.get(b.request.team) ?? 0;
-    if (a.request.team !== b.request.team && servedA !== servedB) {
-      return servedA < servedB;
+  #isBefore(a: WaitingRequest, b: WaitingRequest): boolean {
+    const startsA = this.#recentStarts.get(a.request.team) ?? 0;
+    const startsB = this.#recentStarts.get(b.request.team) ?? 0;
+    if (a.request.team !== b.request.team && startsA !== startsB) {
+      return startsA < startsB;
     }
     return a.request.dueMs < b.request.dueMs ||
       (a.request.dueMs === b.request.dueMs && a.order < b.order);
@@ -245,42 +252,45 @@
 
   #recordStart(request: AdmissionRequest, nowMs: number): void {
     this.#parts.recordStart(request.priority);
-    this.#startedMs.push(nowMs);
-    if (this.#startedMs.length > this.#maxLength) this.#startedMs.shift();
-    this.#served.forEach((count, team) => {
-      if (count < 0.01) this.#served.delete(team);
-      else this.#served.set(team, count * FAIRNESS_DECAY);
+    this.#startTimesMs.push(nowMs);
+    if (this.#startTimesMs.length > this.#maxLength) this.#startTimesMs.shift();
+    this.#recentStarts.forEach((count, team) => {
+      if (count < 0.01) this.#recentStarts.delete(team);
+      else this.#recentStarts.set(team, count * FAIRNESS_DECAY);
     });
-    this.#served.set(request.team, (this.#served.get(request.team) ?? 0) + 1);
+    this.#recentStarts.set(
+      request.team,
+      (this.#recentStarts.get(request.team) ?? 0) + 1,
+    );
   }
 
-  #dropLate(nowMs: number): void {
+  #refuseLate(nowMs: number): void {
     PRIORITIES.forEach((priority) => {
-      const queue = this.#read(priority);
-      const isLate = ({ request }: Waiting) =>
+      const queue = this.#getQueue(priority);
+      const isLate = ({ request }: WaitingRequest) =>
         request.dueMs <= nowMs + request.workMs;
       const late = queue.filter(isLate);
       if (late.length === 0) return;
       this.#waiting.set(priority, queue.filter((waiting) => !isLate(waiting)));
       late.forEach(({ request, settle }) => {
         this.refused.late++;
-        settle(err(createLate(request, nowMs)));
+        settle(err(createLateFailure(request, nowMs)));
       });
     });
   }
 
-  #sweepLater(): void {
+  #scheduleSweep(): void {
     if (this.#isSweeping) return;
     this.#isSweeping = true;
     this.#parts.clock.schedule(SWEEP_INTERVAL_MS, () => {
       this.#isSweeping = false;
       this.wake();
-      if (this.length > 0) this.#sweepLater();
+      if (this.length > 0) this.#scheduleSweep();
     });
   }
 }
 
-function createLate(request: AdmissionRequest, nowMs: number): Failure {
+function createLateFailure(request: AdmissionRequest, nowMs: number): Failure {
   const leftMs = Math.max(0, Math.round(request.dueMs - nowMs));
   const message =
     `Cannot start the work: it takes about ${Math.round(request.workMs)} ms, ` +
@@ -288,12 +298,12 @@
   return createFailure("DEADLINE_PASSED", message);
 }
 
-function createOverloaded(retryAfterMs: number): Failure {
+function createOverloadedFailure(retryAfterMs: number): Failure {
   return createFailure(
     "OVERLOADED",
     "Cannot start the work in time: too much waits before it",
     {
-      retryAfterMs: Math.max(RETRY_FLOOR_MS, Math.round(retryAfterMs)),
+      retryAfterMs: Math.max(MIN_RETRY_MS, Math.round(retryAfterMs)),
     },
   );
 }
--- a/admission/team_limits.ts
+++ b/admission/team_limits.ts
@@ -1,41 +1,44 @@
 import type { InstanceId, TeamId } from "../ids/mod.ts";
 
-/** A part of a team's limit that one instance lends another. */
+/** A part of a team's limit that one instance lends to another. */
 export interface RateLoan {
   readonly team: TeamId;
   /** Requests per second. */
   readonly rate: number;
-  /** Requests of the lender's burst that go with it. */
+  /** Requests of the lender's burst that are lent with the rate. */
   readonly tokens: number;
-  /** How long from when it was asked for, in milliseconds. */
+  /** Validity from the time of the borrow request, in milliseconds. */
   readonly lifetimeMs: number;
 }
 
-/** A wish to borrow. */
+/** The rate of a team that an instance needs to borrow. */
 export interface BorrowWish {
   readonly team: TeamId;
   /** Requests per second. */
   readonly wanted: number;
 }
 
-/** How long a loan holds, in milliseconds. */
+/** Validity of a loan, in milliseconds. */
 export const LOAN_LIFETIME_MS = 2_000;
 const BURST_SECONDS = 1;
 const DEMAND_WINDOW_MS = 1_000;
-const DEMAND_MEMORY = 0.2;
+const PREVIOUS_DEMAND_WEIGHT = 0.2;
 const LEND_MARGIN = 1.1;
-/** Part of its share, and of its burst, that a lender keeps for demand to come. */
+/** Fraction of its share, and requests of its burst, that a lender keeps for new demand. */
 const KEPT_SHARE = 0.06;
 const KEPT_TOKENS = 1;
-const LEAST_WISH = 0.05;
-/** A borrower asks for more than it needs now, so that growing demand finds room. */
+const MIN_SHORTFALL = 0.05;
+/** Factor by which a borrower asks for more than it needs now, to cover growing demand. */
 const BORROW_MARGIN = 1.5;
-/** Until the others have seen it, a new instance takes a part of its share. */
+/**
+ * Time in which a new instance uses only a part of its share, until the others know of it, in
+ * milliseconds.
+ */
 export const SETTLE_MS = 4_000;
 const SETTLING_SHARE = 0.4;
 
 interface Loan {
-  /** The other instance. */
+  /** The other instance, lender or borrower. */
   readonly party: string;
   readonly rate: number;
   readonly expiresMs: number;
@@ -44,7 +47,7 @@
 interface TeamBucket {
   limit: number;
   tokens: number;
-  filledMs: number;
+  refilledMs: number;
   demand: number;
   windowStartMs: number;
   windowCount: number;
@@ -52,20 +55,21 @@
   borrowed: Loan[];
 }
 
-/** What limits are created from. */
+/** Constructor arguments of {@linkcode TeamLimits}. */
 export interface TeamLimitsParts {
   readonly startedMs: number;
   /** Share of a team's limit that this instance holds, from 0 to 1. */
   readonly readBaseShare: (team: TeamId) => number;
-  /** Whether others were there before this instance started. */
+  /** Whether other instances ran before this one started. */
   readonly isJoining: () => boolean;
 }
 
 /**
- * The limits of teams, shared over instances without the store. Each instance
- * holds a base share; what it does not need it lends for a short time to those
- * that do. A lender stops spending before the borrower starts, and the borrower
- * stops before the lender goes on, so that the sum never passes the limit.
+ * Shares the limits of teams over instances without the store. Each instance
+ * holds a base share, and lends what it does not need for a short time to
+ * instances that need more. A lender stops using a loan before the borrower
+ * starts, and the borrower stops before the lender resumes, so that the sum of
+ * all rates never exceeds the limit.
  */
 export class TeamLimits {
   readonly #parts: TeamLimitsParts;
@@ -77,13 +81,13 @@
   }
 
   /**
-   * Takes one request off a team's share.
+   * Admits a request against the share of its team, and counts it as demand.
    *
    * @param team Team of the caller.
-   * @param limit Its limit over all instances, in requests per second.
-   * @param nowMs Time now.
-   * @param weight What the request counts. Default: 1.
-   * @returns When to come back, or `undefined` if the request may go on.
+   * @param limit Limit of the team over all instances, in requests per second.
+   * @param nowMs Current time, in milliseconds.
+   * @param weight Number of requests that it counts as. Default: 1.
+   * @returns Time after which to retry, or `undefined` if the request is admitted.
    */
   admit(
     team: TeamId,
@@ -95,7 +99,7 @@
     return this.admitAgain(team, limit, nowMs, weight);
   }
 
-  /** As {@linkcode admit}, for a request whose demand is counted already. */
+  /** Does the same as {@linkcode admit} for a request that is already counted as demand. */
   admitAgain(
     team: TeamId,
     limit: number,
@@ -104,7 +108,7 @@
   ): { readonly retryAfterMs: number } | undefined {
     const bucket = this.#readBucket(team, limit, nowMs);
     const rate = this.#computeRate(team, bucket, nowMs);
-    this.#fill(bucket, rate, nowMs);
+    this.#refill(bucket, rate, nowMs);
     const capacity = Math.max(1, rate * BURST_SECONDS);
     if (bucket.tokens >= Math.min(weight, capacity)) {
       bucket.tokens -= weight;
@@ -118,19 +122,19 @@
     };
   }
 
-  /** Returns the teams that need more than their share here, and how much in all. */
+  /** Returns the teams that need more than their share here, with the total rate to borrow. */
   decideBorrow(nowMs: number): readonly BorrowWish[] {
     return [...this.#buckets]
       .map(([team, bucket]) => {
         this.#rollWindow(bucket, nowMs);
-        const own = this.#computeOwn(team, bucket, nowMs);
+        const own = this.#computeOwnRate(team, bucket, nowMs);
         const target = Math.min(bucket.limit, bucket.demand * BORROW_MARGIN);
         return { team, wanted: target - own };
       })
-      .filter(({ wanted }) => wanted > LEAST_WISH);
+      .filter(({ wanted }) => wanted > MIN_SHORTFALL);
   }
 
-  /** Returns what an instance has lent to this one, and still holds for a while. */
+  /** Returns the rate of a valid loan from a lender, in requests per second, or 0. */
   readBorrowed(team: TeamId, lender: string, nowMs: number): number {
     const loans = this.#buckets.get(team)?.borrowed ?? [];
     return loans.find(({ party, expiresMs }) =>
@@ -139,50 +143,51 @@
   }
 
   /**
-   * Lends what is spare. A loan to the same borrower is replaced, so that it
-   * can be prolonged; it does not shrink before it ends.
+   * Lends unused rate to another instance. It replaces an earlier loan to the
+   * same borrower, which renews that loan; a loan never shrinks before it expires.
    *
-   * @param wish What another instance wants of this one, in all.
-   * @param limit The team's limit.
-   * @param nowMs Time now.
+   * @param request Total rate that the borrower requests of this instance.
+   * @param limit Limit of the team over all instances, in requests per second.
+   * @param nowMs Current time, in milliseconds.
    */
-  lend(wish: BorrowRequest, limit: number, nowMs: number): RateLoan {
-    const bucket = this.#readBucket(wish.team, limit, nowMs);
+  lend(request: BorrowRequest, limit: number, nowMs: number): RateLoan {
+    const bucket = this.#readBucket(request.team, limit, nowMs);
     this.#rollWindow(bucket, nowMs);
-    this.#fill(bucket, this.#computeRate(wish.team, bucket, nowMs), nowMs);
-    const known = bucket.lent.find(({ party }) => party === wish.from)?.rate ??
-      0;
-    const own = this.#computeOwn(wish.team, bucket, nowMs) + known;
+    this.#refill(bucket, this.#computeRate(request.team, bucket, nowMs), nowMs);
+    const lentRate =
+      bucket.lent.find(({ party }) => party === request.from)?.rate ??
+        0;
+    const own = this.#computeOwnRate(request.team, bucket, nowMs) + lentRate;
     const spare = Math.max(
       0,
       own * (1 - KEPT_SHARE) - bucket.demand * LEND_MARGIN,
     );
-    const rate = Math.max(known, Math.min(spare, wish.wanted));
+    const rate = Math.max(lentRate, Math.min(spare, request.wanted));
     const refusal = {
-      team: wish.team,
+      team: request.team,
       rate: 0,
       tokens: 0,
       lifetimeMs: LOAN_LIFETIME_MS,
     };
-    // A loan that is no longer spare runs out; it is not prolonged.
-    if (rate <= 0 || spare < known) return refusal;
+    // A loan whose rate is no longer unused here is not renewed, and expires.
+    if (rate <= 0 || spare < lentRate) return refusal;
     bucket.lent = [
-      ...bucket.lent.filter(({ party }) => party !== wish.from),
-      { party: wish.from, rate, expiresMs: nowMs + LOAN_LIFETIME_MS },
+      ...bucket.lent.filter(({ party }) => party !== request.from),
+      { party: request.from, rate, expiresMs: nowMs + LOAN_LIFETIME_MS },
     ];
-    // Tokens move with the rate: their sum over all instances stays the same.
+    // Tokens move with the rate, so that their sum over all instances stays the same.
     const tokens = Math.max(0, bucket.tokens - KEPT_TOKENS) *
-      Math.min(1, (rate - known) / own);
+      Math.min(1, (rate - lentRate) / own);
     bucket.tokens -= tokens;
-    return { team: wish.team, rate, tokens, lifetimeMs: LOAN_LIFETIME_MS };
+    return { team: request.team, rate, tokens, lifetimeMs: LOAN_LIFETIME_MS };
   }
 
   /**
    * Records a loan that another instance granted.
    *
-   * @param lender Who granted it.
-   * @param loan What was granted.
-   * @param at When it was asked for, and now.
+   * @param lender Id of the lender.
+   * @param loan Loan as granted.
+   * @param at Time of the borrow request and current time, in milliseconds.
    */
   recordLoan(
     lender: string,
@@ -191,7 +196,7 @@
   ): void {
     const bucket = this.#buckets.get(loan.team);
     if (bucket === undefined || loan.rate <= 0) return;
-    this.#fill(
+    this.#refill(
       bucket,
       this.#computeRate(loan.team, bucket, at.nowMs),
       at.nowMs,
@@ -207,7 +212,7 @@
     bucket.tokens += loan.tokens;
   }
 
-  /** Returns what may be spent here now, in requests per second. */
+  /** Returns the rate that this instance may admit now, in requests per second. */
   readRate(team: TeamId, nowMs: number): number {
     const bucket = this.#buckets.get(team);
     return bucket === undefined ? 0 : this.#computeRate(team, bucket, nowMs);
@@ -222,7 +227,7 @@
     const bucket: TeamBucket = {
       limit,
       tokens: 0,
-      filledMs: nowMs,
+      refilledMs: nowMs,
       demand: 0,
       windowStartMs: nowMs,
       windowCount: 0,
@@ -230,11 +235,11 @@
       borrowed: [],
     };
     this.#buckets.set(team, bucket);
-    bucket.tokens = this.#computeBase(team, bucket, nowMs) * BURST_SECONDS;
+    bucket.tokens = this.#computeBaseRate(team, bucket, nowMs) * BURST_SECONDS;
     return bucket;
   }
 
-  #computeBase(team: TeamId, bucket: TeamBucket, nowMs: number): number {
+  #computeBaseRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
     const isSettling = nowMs - this.#parts.startedMs < SETTLE_MS &&
       this.#parts.isJoining();
     const part = isSettling ? SETTLING_SHARE : 1;
@@ -242,25 +247,25 @@
   }
 
   #computeRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
-    const own = this.#computeOwn(team, bucket, nowMs);
+    const own = this.#computeOwnRate(team, bucket, nowMs);
     bucket.borrowed = bucket.borrowed.filter(({ expiresMs }) =>
       expiresMs > nowMs
     );
     return own + sumRates(bucket.borrowed);
   }
 
-  /** The base share, less what is lent. */
-  #computeOwn(team: TeamId, bucket: TeamBucket, nowMs: number): number {
+  /** Returns the base share less the rates that are lent, in requests per second. */
+  #computeOwnRate(team: TeamId, bucket: TeamBucket, nowMs: number): number {
     bucket.lent = bucket.lent.filter(({ expiresMs }) => expiresMs > nowMs);
     return Math.max(
       0,
-      this.#computeBase(team, bucket, nowMs) - sumRates(bucket.lent),
+      this.#computeBaseRate(team, bucket, nowMs) - sumRates(bucket.lent),
     );
   }
 
-  #fill(bucket: TeamBucket, rate: number, nowMs: number): void {
-    const elapsedSeconds = Math.max(0, nowMs - bucket.filledMs) / 1_000;
-    bucket.filledMs = nowMs;
+  #refill(bucket: TeamBucket, rate: number, nowMs: number): void {
+    const elapsedSeconds = Math.max(0, nowMs - bucket.refilledMs) / 1_000;
+    bucket.refilledMs = nowMs;
     const capacity = Math.max(1, rate * BURST_SECONDS);
     bucket.tokens = Math.min(capacity, bucket.tokens + elapsedSeconds * rate);
   }
@@ -278,10 +283,11 @@
   #rollWindow(bucket: TeamBucket, nowMs: number): void {
     const elapsedMs = nowMs - bucket.windowStartMs;
     if (elapsedMs < DEMAND_WINDOW_MS) return;
-    const seen = bucket.windowCount / (elapsedMs / 1_000);
-    bucket.demand = seen > bucket.demand
-      ? seen
-      : bucket.demand * DEMAND_MEMORY + seen * (1 - DEMAND_MEMORY);
+    const measured = bucket.windowCount / (elapsedMs / 1_000);
+    bucket.demand = measured > bucket.demand
+      ? measured
+      : bucket.demand * PREVIOUS_DEMAND_WEIGHT +
+        measured * (1 - PREVIOUS_DEMAND_WEIGHT);
     bucket.windowStartMs = nowMs;
     bucket.windowCount = 0;
   }
@@ -291,7 +297,7 @@
   return loans.reduce((sum, { rate }) => sum + rate, 0);
 }
 
-/** Who borrows from whom. */
+/** A request of an instance to borrow from another one. */
 export interface BorrowRequest extends BorrowWish {
   readonly from: InstanceId;
 }
--- a/store/guarded_store.ts
+++ b/store/guarded_store.ts
@@ -9,8 +9,8 @@
 import type { StoreBudget } from "./store_budget.ts";
 import type {
   Store,
+  StoreCallClass,
   StoreCallOptions,
-  StoreClass,
   StoreEntry,
   StoreEvent,
   StoreFailure,
@@ -19,7 +19,7 @@
   SwapOutcome,
 } from "./store.ts";
 
-/** What a guarded store needs. */
+/** Constructor arguments of {@linkcode GuardedStore}. */
 export interface GuardedStoreParts {
   readonly store: Store;
   readonly clock: Clock;
@@ -27,28 +27,31 @@
   readonly budget: StoreBudget;
 }
 
-/** Optional parts of a guarded store. */
+/** Options of {@linkcode GuardedStore}. */
 export interface GuardedStoreOptions {
-  /** Longest time that a call may take, in milliseconds. Default: 1,500. */
+  /** Maximum duration of a call, in milliseconds. Default: 1,500. */
   readonly deadlineMs?: number;
-  /** Called when the circuit opens or closes. Default: nothing. */
+  /** Called with the new state when that of the circuit breaker changes. Default: no-op. */
   readonly onCircuit?: (state: CircuitState["kind"]) => void;
 }
 
 const DEFAULT_DEADLINE_MS = 1_500;
-/** How long a call waits for the budget: callers wait for the journal, batches have time. */
-const BUDGET_PATIENCE_MS: Readonly<Record<StoreClass, number>> = {
+/**
+ * Maximum time for which a call waits for the budget, by class, in milliseconds. Callers
+ * wait for journal writes, so that time is short; batches can wait longer.
+ */
+const MAX_BUDGET_WAIT_MS: Readonly<Record<StoreCallClass, number>> = {
   journal: 300,
   lease: 300,
   configuration: 300,
   batch: 3_000,
   usage: 0,
 };
-const BUDGET_WAIT_MS = 30;
+const BUDGET_POLL_INTERVAL_MS = 30;
 
 /**
- * The one store client of a daemon: every call has a deadline, passes the
- * budget, and is refused at once while the circuit is open.
+ * The only store client of a daemon. Every call has a deadline and takes from the
+ * budget, and is refused at once while the circuit breaker is open.
  */
 export class GuardedStore implements Store {
   readonly #parts: GuardedStoreParts;
@@ -59,7 +62,7 @@
 
   /**
    * @param parts Store, clock, random source and budget.
-   * @param options Deadline and observer.
+   * @param options Deadline of calls and observer of the circuit breaker.
    */
   constructor(parts: GuardedStoreParts, options: GuardedStoreOptions = {}) {
     this.#parts = parts;
@@ -67,7 +70,7 @@
     this.#onCircuit = options.onCircuit ?? (() => {});
   }
 
-  /** Whether the store answered lately. */
+  /** Whether the store counts as reachable: the circuit breaker is closed. */
   get isReachable(): boolean {
     return this.#circuit.kind === "closed";
   }
@@ -120,7 +123,7 @@
     run: (store: Store) => StoreResult<T>,
   ): StoreResult<T> {
     const { clock, store } = this.#parts;
-    // While one call probes a store that was lost, the others wait for what it finds.
+    // While one call probes an unreachable store, the others wait for its outcome.
     if (this.#circuit.kind === "half-open") await this.#probe;
     const admission = admitCall(this.#circuit, clock.nowMs());
     if (!admission.isAdmitted) {
@@ -129,15 +132,15 @@
         message: "Cannot reach the store: the circuit is open",
       });
     }
-    if (!await this.#admitToBudget(options.callClass ?? "configuration")) {
+    if (!await this.#waitForBudget(options.callClass ?? "configuration")) {
       return err({
         kind: "over-budget",
         message: "Cannot call the store: the budget is spent",
       });
     }
     this.#setCircuit(admission.state);
-    const answered = this.#withDeadline(run(store)).then((result) => {
-      this.#learn(result);
+    const answered = this.#awaitWithDeadline(run(store)).then((result) => {
+      this.#recordOutcome(result);
       return result;
     });
     if (admission.state.kind === "half-open") {
@@ -146,34 +149,34 @@
     return await answered;
   }
 
-  /** Waits a while for the budget, by class, before a call is refused. */
-  async #admitToBudget(callClass: StoreClass): Promise<boolean> {
+  /** Waits for the budget up to the maximum of the class; returns whether the call may be sent. */
+  async #waitForBudget(callClass: StoreCallClass): Promise<boolean> {
     const { budget, clock } = this.#parts;
     const startMs = clock.nowMs();
     while (!budget.admit(callClass, clock.nowMs())) {
-      if (clock.nowMs() - startMs >= BUDGET_PATIENCE_MS[callClass]) {
+      if (clock.nowMs() - startMs >= MAX_BUDGET_WAIT_MS[callClass]) {
         return false;
       }
-      await waitFor(clock, BUDGET_WAIT_MS);
+      await waitFor(clock, BUDGET_POLL_INTERVAL_MS);
     }
     return true;
   }
 
-  async #withDeadline<T>(call: StoreResult<T>): StoreResult<T> {
+  async #awaitWithDeadline<T>(call: StoreResult<T>): StoreResult<T> {
     const timer = new AbortController();
-    const late = waitFor(this.#parts.clock, this.#deadlineMs, timer.signal)
+    const timeout = waitFor(this.#parts.clock, this.#deadlineMs, timer.signal)
       .then(() =>
         err<T, StoreFailure>({
           kind: "unknown",
           message: "Cannot await the store: deadline passed",
         })
       );
-    const result = await Promise.race([call, late]);
+    const result = await Promise.race([call, timeout]);
     timer.abort("answered");
     return result;
   }
 
-  #learn<T>(result: Result<T, StoreFailure>): void {
+  #recordOutcome<T>(result: Result<T, StoreFailure>): void {
     const { clock, random } = this.#parts;
     if (result.isErr() && result.error.kind === "too-large") return;
     const event = result.isOk()
