--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -46,24 +46,24 @@
 import type { WarmUpBounds } from "./warm_up_gate.ts";
 
 /**
- * Part of the objective that a call waits for room before it is refused: early
- * enough for the caller to be served elsewhere in time.
+ * Fraction of its latency objective for which a call waits for capacity before it is
+ * refused: early enough for the caller to be served elsewhere in time.
  */
-const WAIT_PART_OF_TARGET = 0.25;
+const MAX_WAIT_TARGET_FRACTION = 0.25;
 /**
- * How long a call waits for the first configuration after a start, in
- * milliseconds: reading it takes less than a tenth of a second, and a refusal
- * later than a quarter of the shortest objectives would come late.
+ * How long a call waits for the first configuration after a start, in milliseconds.
+ * Reading the configuration takes less than 100 ms, and a refusal after more than a
+ * quarter of the shortest latency objectives would be late.
  */
-const CONFIGURATION_PATIENCE_MS = 100;
-/** When to come back to an instance that knows no configuration yet, in milliseconds. */
+const MAX_CONFIGURATION_WAIT_MS = 100;
+/** When callers may retry at an instance that has no configuration yet, in milliseconds. */
 const NO_CONFIGURATION_RETRY_MS = 500;
-/** Calls that are woken when room appears. */
-const WOKEN_AT_ONCE = 2;
-/** Time that a call has where neither caller nor route bounds it, in milliseconds. */
-const NO_BOUND_MS = 600_000;
+/** Number of waiting calls that are woken when capacity may be available. */
+const CALLS_WOKEN_AT_ONCE = 2;
+/** Timeout of a call that neither its caller nor its route limits, in milliseconds. */
+const DEFAULT_TIMEOUT_MS = 600_000;
 
-/** What a forwarder is created from. */
+/** Dependencies and settings of a {@linkcode CallForwarder}. */
 export interface CallForwarderParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -79,43 +79,43 @@
   readonly metrics: Metrics;
   readonly repeatBounds: RepeatBounds;
   readonly warmUpBounds: WarmUpBounds;
-  /** What may run beyond the limits of teams. */
+  /** How far usage may exceed the limits of teams. */
   readonly limitBounds: LimitBounds;
-  /** Keeps a refused call where instances that start later find it. Default: it is kept nowhere. */
+  /** Stores a quarantined call where instances that start later find it. Default: it is not stored. */
   readonly keepRefusedCall?: ((ends: ReportedEnds) => void) | undefined;
 }
 
-/** Takes calls, finds a server for each, and passes answers on. */
+/** Accepts calls, sends each to a backend server or a remote instance, and passes on the answers. */
 export class CallForwarder {
   readonly #parts: CallForwarderParts;
   readonly #replies: CallReplies;
   readonly #learned: LearnedServers;
-  readonly #guard: QuarantineGuard;
-  readonly #places: PlaceChooser;
-  readonly #line: WaitingLine;
-  readonly #repeats: RepeatBudgets;
-  readonly #use = new RouteUse();
+  readonly #quarantineGuard: QuarantineGuard;
+  readonly #destinations: PlaceChooser;
+  readonly #waitingCalls: WaitingLine;
+  readonly #retryBudgets: RepeatBudgets;
+  readonly #routeUsage = new RouteUse();
   readonly #sender: CallSender;
-  readonly #limits: FleetLimits;
+  readonly #teamLimits: FleetLimits;
   readonly #gate: CallGate;
   #table: RouteTable | undefined;
   #inFlight = 0;
 
-  /** @param parts Ports and state. */
+  /** @param parts Dependencies and settings. */
   constructor(parts: CallForwarderParts) {
     const { fleet, loads, random, registry } = parts;
     this.#parts = parts;
-    this.#repeats = new RepeatBudgets(parts.repeatBounds);
-    this.#guard = new QuarantineGuard(parts);
-    this.#line = new WaitingLine(parts.clock);
-    this.#limits = new FleetLimits({
+    this.#retryBudgets = new RepeatBudgets(parts.repeatBounds);
+    this.#quarantineGuard = new QuarantineGuard(parts);
+    this.#waitingCalls = new WaitingLine(parts.clock);
+    this.#teamLimits = new FleetLimits({
       ownRegion: fleet.self.region,
       startedMs: parts.clock.nowMs(),
       random,
       bounds: parts.limitBounds,
       readOthers: (team) => fleet.uses.readOthers(team),
     });
-    this.#gate = new CallGate({ ...parts, limits: this.#limits });
+    this.#gate = new CallGate({ ...parts, limits: this.#teamLimits });
     this.#replies = new CallReplies({
       ...parts,
       readVersion: () => this.#table?.configuration.version,
@@ -133,7 +133,7 @@
       random,
       countOthers: () => fleet.countSharing(fleet.self.region) - 1,
     });
-    this.#places = new PlaceChooser({
+    this.#destinations = new PlaceChooser({
       fleet,
       servers,
       random,
@@ -142,57 +142,58 @@
     this.#sender = new CallSender({
       ...parts,
       replies: this.#replies,
-      places: this.#places,
-      repeats: this.#repeats,
+      destinations: this.#destinations,
+      retryBudgets: this.#retryBudgets,
       quarantine: this.quarantine,
-      toServers: new ServerSender({
+      serverSender: new ServerSender({
         ...parts,
         quarantine: this.quarantine,
         learned: this.#learned,
-        createMarks: (exchange) => this.#replies.markAnswered(exchange),
+        createHopHeaders: (exchange) =>
+          this.#replies.createAnsweredHeaders(exchange),
       }),
-      toInstances: new InstanceSender({
+      instanceSender: new InstanceSender({
         ...parts,
         client: parts.peerClient,
-        places: this.#places,
+        destinations: this.#destinations,
       }),
       onServerFree: () => this.wake(),
     });
   }
 
-  /** Calls under which servers ended. */
+  /** Quarantine of calls that crash servers. */
   get quarantine(): CallQuarantine {
-    return this.#guard.quarantine;
+    return this.#quarantineGuard.quarantine;
   }
 
-  /** Keeps all refused calls once more: where they were kept has lost some. */
+  /** Stores all quarantined calls again, after the store has lost some. */
   keepRefusedCalls(): void {
-    this.#guard.keepAgain(this.#parts.clock.nowMs());
+    this.#quarantineGuard.keepAgain(this.#parts.clock.nowMs());
   }
 
-  /** Limits that servers name. */
+  /** Limits that servers advertise. */
   get limits(): ServerLimits {
     return this.#learned.limits;
   }
 
-  /** Calls that are being served. */
+  /** Number of calls that are being served. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Calls that wait for room. */
+  /** Number of calls that wait for capacity. */
   get waiting(): number {
-    return this.#line.length;
+    return this.#waitingCalls.length;
   }
 
-  /** Puts a configuration in force. */
+  /** Applies a configuration, and wakes all waiting calls. */
   setTable(table: RouteTable): void {
-    this.#tellTeams(table);
+    this.#logTeamChanges(table);
     this.#table = table;
     const { routes, teams } = table.configuration;
-    this.#use.keepOnly(routes);
-    this.#limits.keepOnly(new Set(teams?.teams.map(({ id }) => id)));
-    this.#line.wakeFirst(this.#line.length);
+    this.#routeUsage.keepOnly(routes);
+    this.#teamLimits.keepOnly(new Set(teams?.teams.map(({ id }) => id)));
+    this.#waitingCalls.wakeFirst(this.#waitingCalls.length);
   }
 
   /** Returns how long the servers of a service are cold after a start, in milliseconds. */
@@ -200,42 +201,42 @@
     return this.#table?.findService(service)?.warmUpMs ?? 0;
   }
 
-  /** Returns where callers of a host may be led. */
+  /** Returns the regions to which callers of a host may be directed. */
   findHomes(host: string): HostHomes {
     const nowMs = this.#parts.clock.nowMs();
     return findHostHomes(
       this.#table?.listRoutes(host) ?? [],
-      (route) => this.#use.read(route, nowMs),
+      (route) => this.#routeUsage.read(route, nowMs),
     );
   }
 
-  /** Takes other bounds on repeated sends; what was sent so far is forgotten. */
+  /** Replaces the bounds on retries. The retries counted so far are forgotten. */
   setRepeatBounds(bounds: RepeatBounds): void {
-    this.#repeats.setBounds(bounds);
+    this.#retryBudgets.setBounds(bounds);
   }
 
-  /** Returns what teams use at this instance, for the next report. */
+  /** Returns the usage of teams at this instance, for the next report. */
   listUses(nowMs: number): readonly ReportedUse[] {
-    return this.#limits.listOwn(nowMs);
+    return this.#teamLimits.listOwn(nowMs);
   }
 
-  /** Notes with whom the limits of teams are shared now. */
+  /** Updates the numbers of regions and instances among which the limits of teams are shared. */
   countFleet(): void {
     const { clock, fleet } = this.#parts;
     const nowMs = clock.nowMs();
-    this.#limits.setCounts(
+    this.#teamLimits.setCounts(
       fleet.countRegions(nowMs),
       fleet.namedCount,
       nowMs,
     );
   }
 
-  /** Lets waiting calls look for room again. */
+  /** Wakes the first waiting calls, which then look for capacity again. */
   wake(): void {
-    this.#line.wakeFirst(WOKEN_AT_ONCE);
+    this.#waitingCalls.wakeFirst(CALLS_WOKEN_AT_ONCE);
   }
 
-  /** Returns the model engines of a region that may get calls. */
+  /** Returns the model engines of a region that calls may be sent to. */
   listEngines(region: RegionId): readonly RegisteredServer[] {
     return this.#parts.registry.servers.map(({ entry }) => entry)
       .filter(({ id, service }) =>
@@ -244,17 +245,17 @@
       ).filter((entry) => entry.region === region);
   }
 
-  /** Returns the prompt parts sent since the last call, for the next report. */
+  /** Returns the prompt parts sent since the last invocation, for the next report. */
   takePrefixes(): readonly ReportedPrefix[] {
     return this.#learned.takeUnreported();
   }
 
-  /** Takes prompt parts that other instances have sent to servers. */
+  /** Records prompt parts that other instances have sent to servers. */
   learnPrefixes(prefixes: readonly ReportedPrefix[]): void {
     this.#learned.learnPrefixes(prefixes);
   }
 
-  /** Forgets what was learned of servers that are gone. */
+  /** Discards what is known of servers that are no longer registered. */
   forgetGone(): void {
     const known = this.#parts.registry.servers.map(({ entry }) => entry.id);
     this.#learned.keepOnly(new Set<BackendId>(known));
@@ -263,8 +264,8 @@
   /**
    * Serves one call.
    *
-   * @param call As read.
-   * @param sink Where its answer goes.
+   * @param call The call.
+   * @param sink Destination of the answer.
    */
   async handle(call: OpaqueCall, sink: CallSink): Promise<void> {
     this.#inFlight++;
@@ -275,16 +276,16 @@
     }
   }
 
-  /** Returns why a call is refused whatever its body says, or `undefined`. */
+  /** Returns why a call is refused before its body is read, or `undefined` if it is not. */
   refuseUnread(call: CallHead): Refusal | undefined {
     if (this.#table === undefined) return undefined;
     const { configuration } = this.#table;
     const facts = this.#parts.grammar.readCall(call.headers);
     const route = this.#table.findRoute(facts.host, call.target);
-    return this.#gate.refuseUnread({ call, facts, route, configuration });
+    return this.#gate.findHeadRefusal({ call, facts, route, configuration });
   }
 
-  /** Returns when the time of a call is over, on the own clock. */
+  /** Returns the deadline of a call, in milliseconds on this instance's clock. */
   findDueMs(call: OpaqueCall): number {
     const facts = this.#parts.grammar.readCall(call.headers);
     const route = this.#table?.findRoute(facts.host, call.target);
@@ -292,11 +293,11 @@
   }
 
   /**
-   * Answers a call with a refusal, in the form that its sender understands.
+   * Answers a call with a refusal, with additional headers if an instance has forwarded it.
    *
    * @param call The call.
-   * @param sink Where the answer goes.
-   * @param refusal Why it is refused.
+   * @param sink Destination of the answer.
+   * @param refusal Why the call is refused.
    */
   refuse(call: OpaqueCall, sink: CallSink, refusal: Refusal): void {
     this.#replies.refuse(call, sink, refusal);
@@ -304,7 +305,7 @@
 
   async #serve(call: OpaqueCall, sink: CallSink): Promise<void> {
     const facts = this.#parts.grammar.readCall(call.headers);
-    await this.#awaitTable(call, sink);
+    await this.#awaitConfiguration(call, sink);
     if (this.#table === undefined) {
       this.refuse(call, sink, {
         reason: "no-configuration",
@@ -315,21 +316,21 @@
     }
     const { configuration } = this.#table;
     const route = this.#table.findRoute(facts.host, call.target);
-    const entered = this.#gate.enter({ call, facts, route, configuration });
-    if (entered.isErr()) {
-      this.refuse(call, sink, entered.error);
+    const admitted = this.#gate.admit({ call, facts, route, configuration });
+    if (admitted.isErr()) {
+      this.refuse(call, sink, admitted.error);
       return;
     }
     if (route === undefined) {
       this.#refuseUnrouted(call, sink, facts.host);
       return;
     }
-    const { access, settle } = entered.value;
+    const { access, settle } = admitted.value;
     const served = { call, sink, facts, access, route };
     settle(await this.#serveRouted(served, this.#table));
   }
 
-  /** @returns Whether the call may have run. */
+  /** Serves a call whose route is known. Returns whether the call may have run. */
   async #serveRouted(
     served: Omit<RoutedCall, "service" | "leastGapMs">,
     table: RouteTable,
@@ -348,27 +349,27 @@
       return false;
     }
     if (call.origin.kind === "caller") {
-      this.#repeats.recordCall(service.name, call.receivedMs);
-      this.#use.record(route, call.receivedMs);
+      this.#retryBudgets.recordCall(service.name, call.receivedMs);
+      this.#routeUsage.record(route, call.receivedMs);
     }
     const leastGapMs = table.findLeastGapMs(service.name);
-    return await this.#forwardInTime({ ...served, service, leastGapMs });
+    return await this.#forwardUntilDeadline({ ...served, service, leastGapMs });
   }
 
-  /** Waits a little for the first configuration: this instance has just started. */
-  async #awaitTable(call: OpaqueCall, sink: CallSink): Promise<void> {
+  /** Waits for the first configuration, for a limited time after the call arrived. */
+  async #awaitConfiguration(call: OpaqueCall, sink: CallSink): Promise<void> {
     const { clock } = this.#parts;
-    const untilMs = call.receivedMs + CONFIGURATION_PATIENCE_MS;
-    const place = { rank: 0, order: this.#line.takeOrder() };
+    const untilMs = call.receivedMs + MAX_CONFIGURATION_WAIT_MS;
+    const ticket = { rank: 0, order: this.#waitingCalls.takeOrder() };
     while (this.#table === undefined && !sink.signal.aborted) {
-      const patienceMs = untilMs - clock.nowMs();
-      if (patienceMs <= 0) return;
-      await this.#line.wait(place, patienceMs, sink.signal);
+      const maxWaitMs = untilMs - clock.nowMs();
+      if (maxWaitMs <= 0) return;
+      await this.#waitingCalls.wait(ticket, maxWaitMs, sink.signal);
     }
   }
 
   #refuseUnrouted(call: OpaqueCall, sink: CallSink, host: string): void {
-    // Another instance may be ahead of this one: its call has a route.
+    // The instance that forwarded a call may have a newer configuration, with a route for it.
     const isForwarded = call.origin.kind === "instance";
     this.refuse(call, sink, {
       reason: isForwarded ? "no-room" : "no-route",
@@ -377,25 +378,26 @@
   }
 
   /**
-   * Forwards a call and gives it up when its time is over or its caller leaves.
+   * Forwards a call, and aborts it when its deadline passes or its caller disconnects.
    *
-   * @returns Whether it may have run.
+   * @returns Whether the call may have run.
    */
-  async #forwardInTime(routed: RoutedCall): Promise<boolean> {
+  async #forwardUntilDeadline(routed: RoutedCall): Promise<boolean> {
     const { clock } = this.#parts;
     const { call, sink } = routed;
-    const given = new AbortController();
+    const callAbort = new AbortController();
     const timer = new AbortController();
-    const giveUp = () => given.abort("given up");
+    const giveUp = () => callAbort.abort("given up");
     sink.signal.addEventListener("abort", giveUp, { once: true });
-    const dueMs = call.receivedMs + readRemainingMs(routed);
-    const leftMs = dueMs - clock.nowMs();
-    // A timer of no time would fire after the call was sent. An answer that has
-    // arrived in time goes to the caller, though this instance reads it late.
+    const deadlineMs = call.receivedMs + readRemainingMs(routed);
+    const leftMs = deadlineMs - clock.nowMs();
+    // A timer with no time left would only fire after the call was sent. The timer lets
+    // arrived data be read first, so that an answer that arrived in time is passed on even
+    // if this instance reads it late.
     if (leftMs > 0) scheduleAfterReading(clock, leftMs, giveUp, timer.signal);
     else giveUp();
-    const exchange = this.#createExchange(routed, dueMs, given.signal);
-    const endServing = this.#guard.begin(exchange.content, giveUp);
+    const exchange = this.#createExchange(routed, deadlineMs, callAbort.signal);
+    const endServing = this.#quarantineGuard.begin(exchange.content, giveUp);
     await this.#forward(exchange);
     endServing();
     timer.abort("done");
@@ -422,11 +424,11 @@
         lastEventId: hop?.resumeAfter ?? facts.lastEventId,
       },
       tried: new Set(hop?.tried),
-      waitOrder: this.#line.takeOrder(),
-      // Only the instance that the caller reached repeats calls.
+      waitOrder: this.#waitingCalls.takeOrder(),
+      // Only the instance that the caller reached retries calls.
       attemptsLeft: hop === undefined ? route.maxAttempts : 1,
       sentTo: [],
-      isOnOffer: false,
+      isHandingOver: false,
       mayHaveRun: false,
       heldAnswer: undefined,
       avoidedRegions: new Set(),
@@ -438,52 +440,56 @@
     while (!exchange.signal.aborted) {
       const nowMs = this.#parts.clock.nowMs();
       if (this.#refuseQuarantined(exchange, nowMs)) return;
-      const place = this.#places.choose(exchange, nowMs);
-      if (place.kind === "here" || place.kind === "away") {
-        if (await this.#sender.send(exchange, place)) return;
+      const destination = this.#destinations.choose(exchange, nowMs);
+      if (destination.kind === "here" || destination.kind === "away") {
+        if (await this.#sender.send(exchange, destination)) return;
         continue;
       }
       const { access: { rank }, route: { targetMs } } = exchange;
-      const patienceMs = exchange.call.receivedMs +
-        WAIT_PART_OF_TARGET * targetMs - nowMs;
-      if (isHopeless(place, nowMs, patienceMs)) {
-        this.#refuseForRoom(exchange, place, nowMs);
+      const maxWaitMs = exchange.call.receivedMs +
+        MAX_WAIT_TARGET_FRACTION * targetMs - nowMs;
+      if (isHopeless(destination, nowMs, maxWaitMs)) {
+        this.#refuseForCapacity(exchange, destination, nowMs);
         return;
       }
-      await this.#line.wait(
+      await this.#waitingCalls.wait(
         { rank, order: exchange.waitOrder },
-        patienceMs,
+        maxWaitMs,
         exchange.signal,
       );
     }
     if (this.#refuseQuarantined(exchange, this.#parts.clock.nowMs())) return;
-    this.#replies.finishWithout(exchange, {
+    this.#replies.finishUnanswered(exchange, {
       reason: exchange.mayHaveRun ? "timed-out" : "no-time",
       message: "The time of the call is over",
       retryAfterMs: exchange.mayHaveRun ? undefined : NO_ROOM_RETRY_MS,
     });
   }
 
-  #refuseForRoom(exchange: Exchange, place: NoPlace, nowMs: number): void {
+  #refuseForCapacity(
+    exchange: Exchange,
+    destination: NoPlace,
+    nowMs: number,
+  ): void {
     const service = exchange.service.name;
     const known = { ...this.#parts, learned: this.#learned };
-    this.#replies.finishWithout(
+    this.#replies.finishUnanswered(
       exchange,
-      toNoRoomRefusal(service, place, nowMs),
+      toNoRoomRefusal(service, destination, nowMs),
       { servers: describeServers(service, nowMs, known) },
     );
   }
 
   #refuseQuarantined(exchange: Exchange, nowMs: number): boolean {
-    const refusal = this.#guard.findRefusal(exchange.content, nowMs);
+    const refusal = this.#quarantineGuard.findRefusal(exchange.content, nowMs);
     if (refusal === undefined) return false;
     const content = exchange.content.fingerprint;
-    this.#replies.finishWithout(exchange, refusal, { content });
+    this.#replies.finishUnanswered(exchange, refusal, { content });
     return true;
   }
 
-  /** Says which keys and limits a configuration changes. */
-  #tellTeams({ configuration: { teams, version } }: RouteTable): void {
+  /** Logs which keys and limits a configuration changes. */
+  #logTeamChanges({ configuration: { teams, version } }: RouteTable): void {
     const before = this.#table?.configuration.teams;
     const changes = describeTeamChanges(before, teams);
     if (changes === undefined) return;
@@ -503,13 +509,13 @@
   "access" | "call" | "sink" | "facts" | "route" | "service" | "leastGapMs"
 >;
 
-/** Returns the time that a call has: the least of its caller's and its route's. */
+/** Returns the timeout of a call, in milliseconds: the shorter of its caller's and its route's. */
 function readRemainingMs(
   { call: { origin }, facts, route }:
     & Pick<RoutedCall, "call" | "facts">
     & { readonly route: HttpRoute | undefined },
 ): number {
   if (origin.kind === "instance") return origin.hop.remainingMs;
-  const routeMs = route?.timeoutMs ?? NO_BOUND_MS;
-  return Math.min(facts.remainingMs ?? NO_BOUND_MS, routeMs);
+  const routeMs = route?.timeoutMs ?? DEFAULT_TIMEOUT_MS;
+  return Math.min(facts.remainingMs ?? DEFAULT_TIMEOUT_MS, routeMs);
 }
--- a/forwarding/call_forwarder_test.ts
+++ b/forwarding/call_forwarder_test.ts
@@ -22,8 +22,10 @@
 import { OWN_GRAMMAR } from "./own_grammar.ts";
 import type { AnswerHead, ServerClient } from "./server_client.ts";
 
-/** Never answers the first send, and the others at once. */
-function createMuteAtFirst(): ServerClient & { readonly addresses: string[] } {
+/** Never answers the first send, and answers the others immediately. */
+function createInitiallySilentClient(): ServerClient & {
+  readonly addresses: string[];
+} {
   const addresses: string[] = [];
   return {
     addresses,
@@ -80,9 +82,9 @@
 }
 
 describe("CallForwarder", () => {
-  describe("when the instance of another region is silent", () => {
-    it("sends a call that may be repeated to another one there, in time", async () => {
-      const peerClient = createMuteAtFirst();
+  describe("when a remote instance is silent", () => {
+    it("sends a retryable call to another instance of its region in time", async () => {
+      const peerClient = createInitiallySilentClient();
       const { clock, forwarder, handle, meet } = start({
         serverRegion: "south",
         peerClient,
@@ -100,8 +102,8 @@
     });
   });
 
-  describe("when it has just started and knows no configuration", () => {
-    it("serves a call whose configuration arrives shortly after", async () => {
+  describe("when it has just started and has no configuration", () => {
+    it("serves a call if the configuration arrives shortly after it", async () => {
       const { clock, forwarder, handle } = start();
       const heads = handle();
       await clock.advance(60);
@@ -111,7 +113,7 @@
       assert.deepEqual(heads.map(({ status }) => status), [200]);
     });
 
-    it("refuses the call as not run, with a time to come back, once that takes long", async () => {
+    it("refuses the call as not run, with Retry-After, if the configuration takes too long", async () => {
       const { clock, handle } = start();
       const heads = handle();
       await clock.advance(200);
--- a/forwarding/call_gate.ts
+++ b/forwarding/call_gate.ts
@@ -10,10 +10,10 @@
 import type { CallHead } from "./opaque_call.ts";
 import type { Refusal } from "./refusal.ts";
 
-/** Lines about calls that are not let in, a second: enough to see who and why. */
-const LINES_PER_SECOND = 20;
+/** Maximum log lines per second about refused calls, enough to see who is refused and why. */
+const MAX_LOG_LINES_PER_SECOND = 20;
 
-/** What a gate decides with. */
+/** Dependencies of a {@linkcode CallGate}. */
 export interface CallGateParts {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -21,76 +21,77 @@
   readonly limits: FleetLimits;
 }
 
-/** A call that asks to be let in. */
+/** A call for which admission is decided. */
 export interface ArrivingCall {
   readonly call: CallHead;
   readonly facts: CallFacts;
-  /** `undefined`: no route fits. */
+  /** Route of the call, or `undefined` if none matches. */
   readonly route: HttpRoute | undefined;
   readonly configuration: RouteConfiguration;
 }
 
-/** A call that was let in. */
-export interface EnteredCall {
+/** A call that was admitted. */
+export interface AdmittedCall {
   readonly access: CallAccess;
   /**
-   * Ends the call: what it counted is given back where it has not run.
+   * Ends the call, and returns its weight to the team's limit if the call has not run.
    *
-   * @param mayHaveRun Whether a server may have run it.
+   * @param mayHaveRun Whether a server may have run the call.
    */
   readonly settle: (mayHaveRun: boolean) => void;
 }
 
-/** Lets calls of known teams in, as far as their limits go, and says why others are not. */
+/** Admits calls of known teams within the limits of these teams, and logs why others are refused. */
 export class CallGate {
   readonly #parts: CallGateParts;
-  readonly #lines = new LineBudget(LINES_PER_SECOND);
+  readonly #logBudget = new LineBudget(MAX_LOG_LINES_PER_SECOND);
 
-  /** @param parts Limits, log and metrics. */
+  /** @param parts Clock, limits, logger and metrics. */
   constructor(parts: CallGateParts) {
     this.#parts = parts;
   }
 
-  /** Returns why a call is not let in, whatever its team's limit says, or `undefined`. */
-  refuseUnread(arriving: ArrivingCall): Refusal | undefined {
+  /** Returns why a call is refused regardless of its team's limit, or `undefined` if it is not. */
+  findHeadRefusal(arriving: ArrivingCall): Refusal | undefined {
     const access = this.#checkAccess(arriving);
     return access.isErr() ? access.error : undefined;
   }
 
   /**
-   * Decides whether a call is served.
+   * Decides whether a call is served, and counts an admitted call against its team's limit.
    *
    * @param arriving The call, and the configuration in force.
-   * @returns The call let in, or its refusal.
+   * @returns The admitted call, or its refusal.
    */
-  enter(arriving: ArrivingCall): Result<EnteredCall, Refusal> {
+  admit(arriving: ArrivingCall): Result<AdmittedCall, Refusal> {
     const { call: { origin }, route } = arriving;
     const access = this.#checkAccess(arriving);
     if (access.isErr()) return err(access.error);
     const team = access.value.caller?.team;
-    // What has no route does not run, and who forwarded a call has counted it.
+    // A call without a route does not run, and a forwarded call has been counted by the
+    // instance that forwarded it.
     const isCounted = route !== undefined && origin.kind === "caller";
     if (team === undefined || !isCounted) {
       return ok({ access: access.value, settle: () => {} });
     }
-    return this.#count(arriving, access.value, team);
+    return this.#countAgainstLimit(arriving, access.value, team);
   }
 
-  /** Decides whose call it is, and says why it is not let in. */
+  /** Identifies the team of a call, and logs the refusal of a call that has no access. */
   #checkAccess(arriving: ArrivingCall): Result<CallAccess, Refusal> {
     const { call: { origin }, configuration, facts, route } = arriving;
     return checkAccess({ origin, facts, route, configuration })
       .mapErr(({ inputs, refusal }) => {
-        this.#tell(arriving, refusal, inputs);
+        this.#logRefusal(arriving, refusal, inputs);
         return refusal;
       });
   }
 
-  #count(
+  #countAgainstLimit(
     arriving: ArrivingCall,
     access: CallAccess,
     team: Team,
-  ): Result<EnteredCall, Refusal> {
+  ): Result<AdmittedCall, Refusal> {
     const { clock, limits, metrics } = this.#parts;
     const weight = team.limit === undefined
       ? 0
@@ -122,21 +123,24 @@
             : `Team "${team.id}" is over its limit`,
           retryAfterMs,
         };
-        this.#tell(arriving, refusal, { team: team.id, ...round(inputs) });
+        this.#logRefusal(arriving, refusal, {
+          team: team.id,
+          ...roundValues(inputs),
+        });
         return err(refusal);
       }
     }
   }
 
-  /** Says why a call is not let in; a flood of such calls says it now and then. */
-  #tell(
+  /** Counts a refusal and logs it, within the limit on log lines. */
+  #logRefusal(
     { call: { origin }, configuration, facts, route }: ArrivingCall,
     refusal: Refusal,
     inputs: Readonly<Record<string, string | number>>,
   ): void {
     const { clock, logger, metrics } = this.#parts;
     metrics.count("call.not_let_in", 1, { reason: refusal.reason });
-    const passedOver = this.#lines.take(clock.nowMs());
+    const passedOver = this.#logBudget.take(clock.nowMs());
     if (passedOver === undefined) return;
     logger.info("refused", {
       call: facts.callId,
@@ -151,7 +155,7 @@
   }
 }
 
-function round(
+function roundValues(
   inputs: Readonly<Record<string, number>>,
 ): Readonly<Record<string, number>> {
   return Object.fromEntries(
--- a/forwarding/call_grammar.ts
+++ b/forwarding/call_grammar.ts
@@ -1,93 +1,97 @@
 import type { TeamId } from "../ids/mod.ts";
 
-/** Headers as names and values in turn, in the order and spelling of the sender. */
+/** Header names and values, alternating, in the order and spelling of the sender. */
 export type RawHeaders = readonly string[];
 
-/** One part of a prompt that other calls may share. */
+/** One part of a prompt, which other calls may share. */
 export interface PromptPart {
-  /** Names the text of this part. */
+  /** Identifies the text of this part. */
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a call to a model engine is about to cost. */
+/** Prompt size and output limit of a call to a model engine, from which its cost is estimated. */
 export interface PromptFacts {
-  /** Tokens to read. */
+  /** Length of the prompt, in tokens. */
   readonly promptTokens: number;
-  /** Most tokens that may be generated. */
+  /** Maximum number of tokens that may be generated. */
   readonly maxOutputTokens: number;
-  /** The prompt from its start, in parts; the last one is the caller's own. */
+  /** Parts of the prompt, in order; the last one belongs to this caller alone. */
   readonly parts: readonly PromptPart[];
 }
 
-/** What the headers of a call say. */
+/** Facts read from the headers of a call. */
 export interface CallFacts {
-  /** The caller's id of this call; empty: it sent none. */
+  /** The caller's id of this call; empty if it sent none. */
   readonly callId: string;
   readonly host: string;
-  /** How long the caller will wait, in milliseconds. Default: as long as the route lets it. */
+  /** How long the caller will wait, in milliseconds; `undefined` if only the route limits the time. */
   readonly remainingMs: number | undefined;
+  /** The prompt; `undefined` if the headers do not describe one. */
   readonly prompt: PromptFacts | undefined;
-  /** Last event that the caller of a resumed stream has. */
+  /** Id of the last event that the caller of a resumed stream has received. */
   readonly lastEventId: string | undefined;
-  /** All values of the header that carries the caller's key, as received. */
+  /** All values of the header that holds the caller's key, as received. */
   readonly authorization: readonly string[];
 }
 
-/** What a send to a backend server says beside what the caller sent. */
+/** Facts that the gateway adds to the caller's headers for a backend server. */
 export interface SendFacts {
-  /** The only server that may run the call, as it calls itself. */
+  /** Name of the only server that may run the call, as the server itself knows it. */
   readonly serverName: string;
   /**
-   * Rank of the call, 0 the most urgent: the priority of its team, and in tenths that of
-   * its route.
+   * Rank of the call; 0 is the most urgent. The integer part is the priority of its team,
+   * the tenths are the priority of its route.
    */
   readonly rank: number;
-  /** How long its answer is of use, in milliseconds. */
+  /** Time until the deadline of the call, in milliseconds. */
   readonly remainingMs: number;
-  /** Goes on after this event. Default: as the caller sent it. */
+  /** Id of the event after which the stream is resumed. Default: the id that the caller sent. */
   readonly lastEventId?: string | undefined;
-  /** The team whose call it is; `undefined`: none is said. */
+  /** Team of the call; `undefined` if no team is sent. */
   readonly team: TeamId | undefined;
-  /** Whether callers' keys stay here, since the deployment identifies callers. */
+  /** Whether the caller's key is removed, because the gateway itself identifies callers. */
   readonly keepsKeys: boolean;
 }
 
-/** What the head of a backend server's answer says. */
+/** Facts read from the head of a backend server's answer. */
 export interface AnswerFacts {
-  /** The call that it answers; `undefined`: it does not say. */
+  /** Id of the answered call; `undefined` if the answer names none. */
   readonly callId: string | undefined;
-  /** Whether the server vouches that the answer is its own. */
+  /** Whether the answer is signed as the server's own. */
   readonly isSigned: boolean;
-  /** Whether the server says that it did not run the call. */
+  /** Whether the server reports that it did not run the call. */
   readonly isNotExecuted: boolean;
-  /** Whether another server than the wanted one got the call, and did not run it. */
+  /** Whether a server other than the intended one received the call, and did not run it. */
   readonly isOtherServer: boolean;
-  /** Whether the body is coded, so that its bytes are not those of the server. */
+  /** Whether the body has a content encoding, so that its bytes are not those of the server. */
   readonly isCoded: boolean;
-  /** Whether the server says that it leaves: it is to get nothing new. */
+  /** Whether the server reports that it is shutting down and must get no new calls. */
   readonly isLeaving: boolean;
   /**
-   * How long the server wants nothing from this instance, in milliseconds, said with a
-   * refusal. Default: it does not say.
+   * Cool-down that the server requests from this instance when it refuses a call, in
+   * milliseconds; `undefined` if it requests none.
    */
   readonly restMs: number | undefined;
-  /** Calls a second that the server takes from all instances together. Default: it names no limit. */
+  /**
+   * Calls per second that the server accepts from all instances together; `undefined` if
+   * it advertises no limit.
+   */
   readonly limitPerSecond: number | undefined;
-  /** How long the server stays cold, in milliseconds. Default: it does not say. */
+  /** How long the server stays cold, in milliseconds; `undefined` if the answer does not tell. */
   readonly coldForMs: number | undefined;
 }
 
 /**
- * The headers of calls in one protocol. The code that decides sees facts; only
- * a grammar knows names.
+ * Reads and writes the headers of calls in one protocol. Only implementations know header
+ * names; all other code works with the facts.
  */
 export interface CallGrammar {
   /** Reads a caller's headers. */
   readCall(headers: RawHeaders): CallFacts;
   /**
-   * Returns the headers for a backend server: the caller's, without those that
-   * concern one connection or that only the gateway sets, and the facts.
+   * Returns the headers for a backend server: the caller's headers, without those that
+   * concern one connection or that only the gateway sets, and the headers for the facts.
    */
   writeSend(headers: RawHeaders, facts: SendFacts): string[];
   /** Reads the head of an answer. */
--- a/forwarding/call_replies.ts
+++ b/forwarding/call_replies.ts
@@ -8,7 +8,7 @@
 import type { CallSink, OpaqueCall } from "./opaque_call.ts";
 import { isNotRun, type Refusal, toRefusalAnswer } from "./refusal.ts";
 
-/** What replies are written and told with. */
+/** Dependencies of {@linkcode CallReplies}. */
 export interface CallRepliesParts {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -17,22 +17,22 @@
   readonly readVersion: () => number | undefined;
 }
 
-/** Ends calls that no server answers, and tells logs and metrics how calls end. */
+/** Answers calls that no server answers, and records in logs and metrics how calls end. */
 export class CallReplies {
   readonly #parts: CallRepliesParts;
 
-  /** @param parts Clock, log and metrics. */
+  /** @param parts Clock, logger, metrics and version of the configuration. */
   constructor(parts: CallRepliesParts) {
     this.#parts = parts;
   }
 
   /**
-   * Answers a call with a refusal, in the form that its sender understands.
+   * Answers a call with a refusal, with additional headers if an instance has forwarded it.
    *
    * @param call The call.
-   * @param sink Where the answer goes.
-   * @param refusal Why it is refused.
-   * @param sentTo Servers that had it.
+   * @param sink Destination of the answer.
+   * @param refusal Why the call is refused.
+   * @param sentTo Servers that this instance sent the call to. Default: none.
    */
   refuse(
     call: OpaqueCall,
@@ -42,25 +42,25 @@
   ): void {
     const { head, body } = toRefusalAnswer(refusal);
     const kind = isNotRun(refusal.reason) ? "not-run" : "unknown";
-    const marks = this.#markAnswer(call, kind, sentTo);
-    sink.begin({ ...head, headers: [...head.headers, ...marks] });
+    const hopHeaders = this.#createHopHeaders(call, kind, sentTo);
+    sink.begin({ ...head, headers: [...head.headers, ...hopHeaders] });
     sink.write(body);
     sink.end([]);
   }
 
-  /** Returns what a server's answer tells another instance; nothing for a caller. */
-  markAnswered({ call, sentTo }: Exchange): readonly string[] {
-    return this.#markAnswer(call, "answered", sentTo);
+  /** Returns the headers added to a server's answer for a forwarding instance; none for a caller. */
+  createAnsweredHeaders({ call, sentTo }: Exchange): readonly string[] {
+    return this.#createHopHeaders(call, "answered", sentTo);
   }
 
   /**
-   * Ends a call that no server answered.
+   * Ends a call that no server answered in full.
    *
    * @param exchange The call.
-   * @param refusal Why.
-   * @param inputs What decided it, for the log.
+   * @param refusal Why it is refused.
+   * @param inputs Additional fields for the log line.
    */
-  finishWithout(
+  finishUnanswered(
     exchange: Exchange,
     refusal: Refusal,
     inputs: Readonly<Record<string, string>> = {},
@@ -80,18 +80,18 @@
       this.#passHeldAnswer(exchange, exchange.heldAnswer);
       return;
     }
-    const honest: Refusal = exchange.mayHaveRun && isNotRun(refusal.reason)
+    const reported: Refusal = exchange.mayHaveRun && isNotRun(refusal.reason)
       ? { reason: "no-answer", message: refusal.message }
       : refusal;
     this.log(exchange, "refused", {
-      reason: honest.reason,
-      detail: honest.message,
+      reason: reported.reason,
+      detail: reported.message,
       ...inputs,
     });
-    this.refuse(call, sink, honest, exchange.sentTo);
+    this.refuse(call, sink, reported, exchange.sentTo);
   }
 
-  /** Counts a call that has ended. */
+  /** Records the result and the duration of a call that has ended in the metrics. */
   count(exchange: Exchange, result: string): void {
     const { clock, metrics } = this.#parts;
     const service = exchange.service.name;
@@ -100,7 +100,7 @@
     metrics.time("call.total_ms", totalMs, { service });
   }
 
-  /** Writes a line about a call. */
+  /** Writes a log line about a call. */
   log(
     exchange: Exchange,
     message: string,
@@ -130,14 +130,14 @@
       ...head,
       headers: [
         ...pickForwarded(head.headers),
-        ...this.markAnswered(exchange),
+        ...this.createAnsweredHeaders(exchange),
       ],
     });
     sink.write(body);
     sink.end(trailers);
   }
 
-  #markAnswer(
+  #createHopHeaders(
     call: OpaqueCall,
     kind: HopAnswer["kind"],
     sentTo: readonly BackendId[],
--- a/forwarding/call_sender.ts
+++ b/forwarding/call_sender.ts
@@ -5,137 +5,138 @@
 import type { CallReplies } from "./call_replies.ts";
 import type { PlaceChooser } from "./choose_place.ts";
 import {
-  beginOffer,
-  endOffer,
+  beginHandover,
+  canBeHandedOver,
+  endHandover,
   type Exchange,
-  mayBeOffered,
 } from "./exchange.ts";
 import type { InstanceSender } from "./instance_sender.ts";
-import { Offer, type OfferEvents } from "./offer.ts";
+import { Handover, type HandoverEvents } from "./offer.ts";
 import type { RepeatBudgets } from "./repeat_budget.ts";
 import type { AttemptOutcome, EndedOutcome } from "./run_attempt.ts";
 import type { SendOptions, ServerSender } from "./server_sender.ts";
 import {
   avoidInstance,
-  type SentPlace,
+  type SendDestination,
   settleAttempt,
-  settleOffer,
+  settleHandover,
 } from "./settle_attempt.ts";
 
-/** Statuses from here on are failures of the server that says them. */
-const LEAST_FAILURE_STATUS = 500;
+/** Lowest HTTP status that means a failure of the server. */
+const MIN_FAILURE_STATUS = 500;
 
-/** What calls are sent with. */
+/** Dependencies of a {@linkcode CallSender}. */
 export interface CallSenderParts {
   readonly clock: Clock;
   readonly fleet: Pick<FleetView, "countSharing">;
   readonly metrics: Metrics;
   readonly replies: CallReplies;
-  readonly places: PlaceChooser;
-  readonly repeats: RepeatBudgets;
+  readonly destinations: PlaceChooser;
+  readonly retryBudgets: RepeatBudgets;
   readonly quarantine: CallQuarantine;
-  readonly toServers: ServerSender;
-  readonly toInstances: InstanceSender;
-  /** Called when a server of the own region has done with a call. */
+  readonly serverSender: ServerSender;
+  readonly instanceSender: InstanceSender;
+  /** Called when a send to a server of this instance's region has ended. */
   readonly onServerFree: () => void;
 }
 
 /**
- * Sends calls to the places that were chosen for them, offers those of silent
- * servers to others, and settles what each send comes to.
+ * Sends calls to their chosen destinations, hands over calls of silent servers to other
+ * destinations, and settles the outcome of each send.
  */
 export class CallSender {
   readonly #parts: CallSenderParts;
 
-  /** @param parts Senders, and what repeats are taken from. */
+  /** @param parts Senders, choice of destinations, retry budgets, quarantine and metrics. */
   constructor(parts: CallSenderParts) {
     this.#parts = parts;
   }
 
   /**
-   * Sends a call to a place, and on to others that take it over there.
+   * Sends a call to a destination, and follows handovers to other destinations.
    *
    * @param exchange The call.
-   * @param first Where.
-   * @returns Whether the call is done; else a place is chosen again.
+   * @param first First destination.
+   * @returns Whether the call is done. If not, another destination must be chosen.
    */
-  async send(exchange: Exchange, first: SentPlace): Promise<boolean> {
-    let place = first;
-    let outcome = await this.#attempt(exchange, place);
+  async send(exchange: Exchange, first: SendDestination): Promise<boolean> {
+    let destination = first;
+    let outcome = await this.#attempt(exchange, destination);
     while (outcome.kind === "handed-over") {
-      const { left, offer } = outcome;
-      endOffer(exchange);
-      this.#logOutcome(exchange, place, left);
-      settleAttempt(exchange, place, left);
-      place = offer.place;
-      outcome = await offer.outcome;
+      const { firstOutcome, handover } = outcome;
+      endHandover(exchange);
+      this.#logOutcome(exchange, destination, firstOutcome);
+      settleAttempt(exchange, destination, firstOutcome);
+      destination = handover.target;
+      outcome = await handover.outcome;
     }
-    return this.#settle(exchange, place, outcome);
+    return this.#settle(exchange, destination, outcome);
   }
 
   async #attempt(
     exchange: Exchange,
-    place: SentPlace,
-    offered: Pick<SendOptions, "signal" | "onTaken"> = {},
+    destination: SendDestination,
+    handoverOptions: Pick<SendOptions, "signal" | "onAccepted"> = {},
   ): Promise<AttemptOutcome> {
     const options: SendOptions = {
-      ...offered,
-      offerElsewhere: (events) => this.#offerElsewhere(exchange, place, events),
+      ...handoverOptions,
+      startHandover: (events) =>
+        this.#startHandover(exchange, destination, events),
     };
-    const { onServerFree, toInstances, toServers } = this.#parts;
-    if (place.kind === "away") {
-      return await toInstances.send(exchange, place, options);
+    const { onServerFree, instanceSender, serverSender } = this.#parts;
+    if (destination.kind === "away") {
+      return await instanceSender.send(exchange, destination, options);
     }
-    const outcome = await toServers.send(
+    const outcome = await serverSender.send(
       exchange,
-      place.candidate,
+      destination.candidate,
       options,
     );
     onServerFree();
     return outcome;
   }
 
-  /** Offers a call to a second place, while the attempt of the first one is held back. */
-  #offerElsewhere(
+  /** Starts a handover to a second destination. Returns `undefined` if there is none or it is not allowed. */
+  #startHandover(
     exchange: Exchange,
-    from: SentPlace,
-    events: OfferEvents,
-  ): Offer | undefined {
-    const { clock, metrics, places, quarantine } = this.#parts;
+    from: SendDestination,
+    events: HandoverEvents,
+  ): Handover | undefined {
+    const { clock, metrics, destinations, quarantine } = this.#parts;
     const nowMs = clock.nowMs();
-    if (!mayBeOffered(exchange)) return undefined;
+    if (!canBeHandedOver(exchange)) return undefined;
     if (quarantine.readHeldMs(exchange.content, nowMs) > 0) return undefined;
     avoidInstance(exchange, from);
-    const place = places.choose(exchange, nowMs);
-    if (place.kind !== "here" && place.kind !== "away") return undefined;
-    if (!this.#takeRepeat(exchange)) return undefined;
-    beginOffer(exchange);
+    const target = destinations.choose(exchange, nowMs);
+    if (target.kind !== "here" && target.kind !== "away") return undefined;
+    if (!this.#takeRetry(exchange)) return undefined;
+    beginHandover(exchange);
     metrics.count("call.offers", 1, { service: exchange.service.name });
-    return new Offer({
+    return new Handover({
       clock,
-      place,
-      send: ({ signal, onTaken }) =>
-        this.#attempt(exchange, place, {
+      target,
+      send: ({ signal, onAccepted }) =>
+        this.#attempt(exchange, target, {
           signal: AbortSignal.any([exchange.signal, signal]),
-          onTaken,
+          onAccepted,
         }),
       settle: (outcome) => {
-        endOffer(exchange);
-        this.#logOutcome(exchange, place, outcome);
-        settleOffer(exchange, place, outcome);
+        endHandover(exchange);
+        this.#logOutcome(exchange, target, outcome);
+        settleHandover(exchange, target, outcome);
       },
     }, events);
   }
 
-  /** @returns Whether the call is done. */
+  /** Settles the outcome of a send. Returns whether the call is done. */
   #settle(
     exchange: Exchange,
-    place: SentPlace,
+    destination: SendDestination,
     outcome: EndedOutcome,
   ): boolean {
     const { replies } = this.#parts;
-    this.#logOutcome(exchange, place, outcome);
-    const step = settleAttempt(exchange, place, outcome);
+    this.#logOutcome(exchange, destination, outcome);
+    const step = settleAttempt(exchange, destination, outcome);
     switch (step.kind) {
       case "done":
         replies.count(exchange, "answered");
@@ -143,42 +144,42 @@
       case "choose-again":
         return false;
       case "repeat":
-        if (this.#takeRepeat(exchange)) return false;
-        replies.finishWithout(exchange, step.refusal);
+        if (this.#takeRetry(exchange)) return false;
+        replies.finishUnanswered(exchange, step.refusal);
         return true;
       case "end":
-        replies.finishWithout(exchange, step.refusal);
+        replies.finishUnanswered(exchange, step.refusal);
         return true;
     }
   }
 
-  /** Takes one repeat from the call's attempts and the budget that all instances share. */
-  #takeRepeat(exchange: Exchange): boolean {
-    const { clock, fleet, metrics, repeats } = this.#parts;
+  /** Takes one retry from the budget that all instances share. Returns whether the call may be retried. */
+  #takeRetry(exchange: Exchange): boolean {
+    const { clock, fleet, metrics, retryBudgets } = this.#parts;
     if (exchange.attemptsLeft <= 0 || exchange.signal.aborted) return false;
     const service = exchange.service.name;
     const instances = fleet.countSharing();
-    if (!repeats.take(service, clock.nowMs(), instances)) return false;
+    if (!retryBudgets.take(service, clock.nowMs(), instances)) return false;
     metrics.count("call.repeats", 1, { service });
     return true;
   }
 
   #logOutcome(
     exchange: Exchange,
-    place: SentPlace,
+    destination: SendDestination,
     outcome: EndedOutcome,
   ): void {
     const { replies } = this.#parts;
-    const at = place.kind === "away"
-      ? place.member.id
-      : place.candidate.server.entry.id;
+    const at = destination.kind === "away"
+      ? destination.member.id
+      : destination.candidate.server.entry.id;
     switch (outcome.kind) {
       case "answered":
-        if (outcome.status < LEAST_FAILURE_STATUS) return;
+        if (outcome.status < MIN_FAILURE_STATUS) return;
         replies.log(exchange, "server failed", { at, status: outcome.status });
         return;
       case "failed": {
-        // Held back: the call may be sent once more.
+        // The failure is held back because the call may be retried.
         const { status } = outcome.answer.head;
         replies.log(exchange, "server failed", { at, status, isHeld: true });
         return;
@@ -188,10 +189,10 @@
       case "rejected":
         replies.log(exchange, "rejected", {
           at,
-          isOtherServer: outcome.isOtherServer,
-          ...(outcome.restMs === undefined
+          isOtherServer: outcome.isMisdirected,
+          ...(outcome.cooldownMs === undefined
             ? {}
-            : { restMs: Math.round(outcome.restMs) }),
+            : { restMs: Math.round(outcome.cooldownMs) }),
         });
         return;
       case "not-sent":
@@ -204,7 +205,7 @@
       case "broken":
         replies.log(exchange, outcome.kind, {
           at,
-          // Tells whether the same call is lost again and again.
+          // Shows whether the same call gets no answer repeatedly.
           content: exchange.content.fingerprint,
           reason: outcome.message,
         });
--- a/forwarding/check_access.ts
+++ b/forwarding/check_access.ts
@@ -10,61 +10,66 @@
 import type { CallOrigin } from "./opaque_call.ts";
 import type { Refusal } from "./refusal.ts";
 
-/** Whose call it is, and what that allows. */
+/** Team of a call, and what the call is allowed to do. */
 export interface CallAccess {
-  /** Whose; `undefined`: the route is public, or the deployment identifies nobody. */
+  /**
+   * Team and key of the caller; `undefined` if the route is public or the deployment does
+   * not identify callers.
+   */
   readonly caller: IdentifiedTeam | undefined;
-  /** Regions that may serve the team's calls; `undefined`: all. */
+  /** Regions that may serve the team's calls; `undefined` for all. */
   readonly homeRegions: readonly RegionId[] | undefined;
-  /** Rank of the call, 0 the most urgent, as {@linkcode computeRank} has it. */
+  /** Rank of the call as computed by {@linkcode computeRank}; 0 is the most urgent. */
   readonly rank: number;
-  /** Whether callers' keys stay at this instance. */
-  readonly keepsKeys: boolean;
+  /** Whether the caller's key is removed before the call is sent on. */
+  readonly withholdsKeys: boolean;
   /** Version of the configuration that decided this. */
   readonly configurationVersion: number;
 }
 
-/** Why a call is not let in, and what its log line says of it. */
+/** Why a call is refused access. */
 export interface AccessRefusal {
   readonly refusal: Refusal;
+  /** Fields for the log line of the refusal. */
   readonly inputs: Readonly<Record<string, string>>;
 }
 
-/** What is known of a call before anything is decided. */
+/** Inputs of {@linkcode checkAccess}. */
 export interface AccessParts {
   readonly origin: CallOrigin;
   readonly facts: Pick<CallFacts, "authorization">;
-  /** `undefined`: no route fits. */
+  /** Route of the call, or `undefined` if none matches. */
   readonly route: HttpRoute | undefined;
   readonly configuration: Pick<RouteConfiguration, "teams" | "version">;
 }
 
-/** Routes' priorities that are told apart inside a team's. */
-const ROUTE_RANKS = 10;
+/** Number of route priorities that are distinguished within one team priority. */
+const ROUTE_PRIORITY_LEVELS = 10;
 
 /**
- * Returns the rank of a call: a team's priority goes before its route's, which still
- * orders the calls of teams that are equal. Without it, short calls would lose their place
- * before long ones as soon as teams have priorities.
+ * Returns the rank of a call. The priority of the team comes first; the priority of the
+ * route orders calls of teams with equal priority. If the route did not count, short calls
+ * would no longer go before long ones as soon as teams have priorities.
  *
- * @param team Priority of the team; `undefined`: that of the route counts.
+ * @param team Priority of the team; `undefined` if the priority of the route counts instead.
  * @param route Priority of the route.
  */
 export function computeRank(team: number | undefined, route: number): number {
-  return (team ?? route) + Math.min(route, ROUTE_RANKS - 1) / ROUTE_RANKS;
+  return (team ?? route) +
+    Math.min(route, ROUTE_PRIORITY_LEVELS - 1) / ROUTE_PRIORITY_LEVELS;
 }
 
 /**
- * Decides whose call it is and whether that team may make it. A caller without a
- * good key is told nothing of routes, so that keys come first; only public routes
- * ask for none.
+ * Identifies the team of a call and decides whether the team may make it. Keys are checked
+ * before routes, so that a caller without a valid key learns nothing about routes. Only
+ * public routes require no key.
  *
- * A call that another instance forwards was let in there. An older configuration here
- * must not refuse a key that was just added, a newer one must not let in one that was
- * taken away: whichever is newer decides.
+ * A call that another instance forwards was admitted there. The newer configuration of the
+ * two instances decides: an older one here must not refuse a key that was just added, and
+ * a newer one here must not accept a key that was removed.
  *
- * @param parts What is known of the call.
- * @returns What it may do, or why it is not let in; `no-route` is left to the caller.
+ * @param parts The call and the configuration.
+ * @returns The access of the call, or why it is refused. A call without a route is not refused here.
  */
 export function checkAccess(
   { configuration, facts, origin, route }: AccessParts,
@@ -74,48 +79,50 @@
     caller,
     homeRegions: caller?.team.homeRegions,
     rank: computeRank(caller?.team.priority, route?.priority ?? 0),
-    keepsKeys: teams !== undefined,
+    withholdsKeys: teams !== undefined,
     configurationVersion: version,
   });
-  const isOlder = origin.kind === "instance" &&
+  const isConfigurationOlder = origin.kind === "instance" &&
     origin.hop.configurationVersion > version;
-  if (isOlder) {
+  if (isConfigurationOlder) {
     const { caller } = origin.hop;
     const access = toAccess(caller);
     return ok({
       ...access,
-      keepsKeys: access.keepsKeys || caller !== undefined,
+      withholdsKeys: access.withholdsKeys || caller !== undefined,
     });
   }
   if (teams === undefined || route?.isPublic) return ok(toAccess(undefined));
   const identified = origin.kind === "caller"
-    ? identifyTeam(teams, facts.authorization).mapErr(toUnknown)
-    : findForwarded(origin.hop.caller, teams);
-  return identified.andThen((caller) => checkHomes(toAccess(caller), route));
+    ? identifyTeam(teams, facts.authorization).mapErr(toUnauthenticated)
+    : findForwardedTeam(origin.hop.caller, teams);
+  return identified.andThen((caller) =>
+    checkHomeRegions(toAccess(caller), route)
+  );
 }
 
-/** Finds the team of a forwarded call anew, by the hash of its caller's key. */
-function findForwarded(
-  told: IdentifiedTeam | undefined,
+/** Finds the team of a forwarded call in this configuration, by the hash of the caller's key. */
+function findForwardedTeam(
+  forwarded: IdentifiedTeam | undefined,
   teams: NonNullable<RouteConfiguration["teams"]>,
 ): Result<IdentifiedTeam, AccessRefusal> {
-  const team = told && teams.findByTokenHash(told.tokenHash);
-  if (told !== undefined && team !== undefined) {
-    return ok({ team, tokenHash: told.tokenHash });
+  const team = forwarded && teams.findByTokenHash(forwarded.tokenHash);
+  if (forwarded !== undefined && team !== undefined) {
+    return ok({ team, tokenHash: forwarded.tokenHash });
   }
-  const digest = told && toDigest(told.tokenHash);
+  const digest = forwarded && toDigest(forwarded.tokenHash);
   return err(
-    toUnknown({ reason: told ? "unknown-key" : "no-key", digest }),
+    toUnauthenticated({ reason: forwarded ? "unknown-key" : "no-key", digest }),
   );
 }
 
-function checkHomes(
+function checkHomeRegions(
   access: CallAccess,
   route: HttpRoute | undefined,
 ): Result<CallAccess, AccessRefusal> {
-  const homes = route?.homeRegions;
-  const isServable = route === undefined || homes === undefined ||
-    homes.some((region) => mayServe(access, region));
+  const homeRegions = route?.homeRegions;
+  const isServable = route === undefined || homeRegions === undefined ||
+    homeRegions.some((region) => mayServe(access, region));
   if (isServable) return ok(access);
   return err({
     refusal: {
@@ -126,7 +133,7 @@
   });
 }
 
-function toUnknown(
+function toUnauthenticated(
   { digest, reason }: {
     readonly reason: string;
     readonly digest: string | undefined;
--- a/forwarding/event_framer.ts
+++ b/forwarding/event_framer.ts
@@ -1,8 +1,8 @@
-/** One whole event of a stream. */
+/** One complete event of a stream. */
 export interface FramedEvent {
-  /** The event with the blank line that ends it. */
+  /** The event, including the blank line that ends it. */
   readonly bytes: Buffer;
-  /** Its id; `undefined`: it has none. */
+  /** Id of the event; `undefined` if it has none. */
   readonly id: string | undefined;
 }
 
@@ -11,23 +11,22 @@
 const ID_LINE = /^id:[ ]?(.*?)\r?$/m;
 
 /**
- * Cuts the bytes of a `text/event-stream` into whole events. Bytes after the
- * last blank line stay here: an event that its server never finished is not
- * passed on.
+ * Splits the bytes of a `text/event-stream` into complete events. Bytes after the last
+ * blank line are kept back, so that an event that the server never finished is not passed on.
  */
 export class EventFramer {
-  #rest: Buffer = Buffer.alloc(0);
+  #pending: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
-  get rest(): Buffer {
-    return this.#rest;
+  /** Bytes of an event that is not complete yet. */
+  get pending(): Buffer {
+    return this.#pending;
   }
 
-  /** Takes bytes and returns the events that they complete. */
+  /** Adds bytes and returns the events that they complete. */
   push(chunk: Buffer): readonly FramedEvent[] {
-    let data = this.#rest.length === 0
+    let data = this.#pending.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
+      : Buffer.concat([this.#pending, chunk]);
     const events: FramedEvent[] = [];
     let end = findEventEnd(data);
     while (end !== undefined) {
@@ -37,7 +36,7 @@
       data = data.subarray(end);
       end = findEventEnd(data);
     }
-    this.#rest = data;
+    this.#pending = data;
     return events;
   }
 }
--- a/forwarding/exchange.ts
+++ b/forwarding/exchange.ts
@@ -7,10 +7,10 @@
 import type { PlacedPart } from "./prefix_memory.ts";
 import type { HeldAnswer, StreamProgress } from "./run_attempt.ts";
 
-/** One call on its way, with what has become of it so far. */
+/** One call that is being served, with its state so far. */
 export interface Exchange {
   readonly call: OpaqueCall;
-  /** What is the same where the call comes again. */
+  /** Identifies the call by its content, which is the same each time it is sent. */
   readonly content: CallContent;
   readonly facts: CallFacts;
   readonly access: CallAccess;
@@ -18,35 +18,36 @@
   readonly service: HttpService;
   readonly sink: CallSink;
   readonly parts: readonly PlacedPart[];
-  /** Shortest pause that streams of the service must keep, in milliseconds. */
+  /** Maximum gap between tokens in streams of the service, in milliseconds: the strictest of its routes. */
   readonly leastGapMs: number | undefined;
-  /** When the call is of no use any more, on the own clock. */
+  /** Deadline of the call, in milliseconds on this instance's clock. */
   readonly dueMs: number;
-  /** Aborts when the caller leaves or the time is out. */
+  /** Aborts when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
   readonly progress: StreamProgress;
-  /** Servers that had it. */
+  /** Servers that had the call before, also those that other instances sent it to. */
   readonly tried: Set<BackendId>;
-  /** Keeps its place among those that wait. */
+  /** Order in the queue of waiting calls, kept over several waits. */
   readonly waitOrder: number;
+  /** How often the call may still be sent. */
   attemptsLeft: number;
-  /** Servers that this instance sent it to, in order. */
+  /** Servers that this instance sent the call to, in order. */
   readonly sentTo: BackendId[];
-  /** Whether it is offered to a second place while a first one has it. */
-  isOnOffer: boolean;
-  /** Whether it was sent where it may have run. */
+  /** Whether the call is being handed over to a second destination while the first one has it. */
+  isHandingOver: boolean;
+  /** Whether a server may have run the call. */
   mayHaveRun: boolean;
-  /** A server's failure that goes to the caller if nothing better comes. */
+  /** A failure of a server, passed to the caller if no later attempt succeeds. */
   heldAnswer: HeldAnswer | undefined;
-  /** Other regions that refused it or gave no answer: they are not asked again. */
+  /** Remote regions that refused the call; it is not sent there again. */
   readonly avoidedRegions: Set<RegionId>;
-  /** Other instances that could not be reached. */
+  /** Remote instances that were unreachable, silent or gave no whole answer. */
   readonly avoidedInstances: Set<InstanceId>;
 }
 
 /**
- * Whether a call may be sent once more as far as its answer goes: nothing of it
- * is with the caller, or whole events with an id to go on after.
+ * Returns whether the state of its answer allows a call to be sent again: the caller has
+ * no part of the answer, or has whole events, the last of which has an id to resume after.
  */
 export function isResumableNow({ progress, route }: Exchange): boolean {
   if (!progress.hasBegun) return true;
@@ -54,8 +55,8 @@
     progress.lastEventId !== undefined;
 }
 
-/** Whether a call may run a second time. */
-export function isRepeatable({ route }: Exchange): boolean {
+/** Returns whether a call may run a second time. */
+export function isRetryable({ route }: Exchange): boolean {
   switch (route.routeClass) {
     case "idempotent":
       return true;
@@ -66,20 +67,23 @@
   }
 }
 
-/** Whether a call may be sent to a second place while a first one has it. */
-export function mayBeOffered(exchange: Exchange): boolean {
-  return !exchange.isOnOffer && exchange.attemptsLeft > 1 &&
-    isRepeatable(exchange) && isResumableNow(exchange);
+/** Returns whether a call may be sent to a second destination while the first one has it. */
+export function canBeHandedOver(exchange: Exchange): boolean {
+  return !exchange.isHandingOver && exchange.attemptsLeft > 1 &&
+    isRetryable(exchange) && isResumableNow(exchange);
 }
 
-/** Begins an offer: an attempt is kept for the place that has the call. */
-export function beginOffer(exchange: Exchange): void {
-  exchange.isOnOffer = true;
+/** Begins a handover, and reserves one attempt for the destination that has the call. */
+export function beginHandover(exchange: Exchange): void {
+  exchange.isHandingOver = true;
   exchange.attemptsLeft--;
 }
 
-/** Ends an offer: who has the call now is settled like any other place. */
-export function endOffer(exchange: Exchange): void {
-  exchange.isOnOffer = false;
+/**
+ * Ends a handover, and releases the reserved attempt: the destination that has the call is
+ * settled like any other.
+ */
+export function endHandover(exchange: Exchange): void {
+  exchange.isHandingOver = false;
   exchange.attemptsLeft++;
 }
--- a/forwarding/hop_headers.ts
+++ b/forwarding/hop_headers.ts
@@ -10,50 +10,58 @@
 import type { RawHeaders } from "./call_grammar.ts";
 import { readHeader } from "./http_headers.ts";
 
-/** Carries what the first instance says of a call that it forwards. */
+/** Header that the first instance adds to a call that it forwards. */
 const HOP_HEADER = "havenspur-hop";
-/** Carries what the second instance says of its refusal or answer. */
+/** Header that the second instance adds to its refusal or answer. */
 const HOP_ANSWER_HEADER = "havenspur-hop-answer";
 
-/** What the first instance says of a call. */
+/** What the first instance tells the second one about a forwarded call. */
 export interface Hop {
+  /** The first instance. */
   readonly from: InstanceId;
   /**
-   * Service that the first instance chose. The second one follows it, whichever
-   * configuration it has: of two calls that one instance takes, the later must not
-   * be handled by an older configuration.
+   * Service that the first instance chose. The second instance uses it whatever its own
+   * configuration is: of two calls that one instance receives, the later one must not be
+   * handled by an older configuration.
    */
   readonly service: string;
-  /** What is left of the caller's time, in milliseconds. */
+  /** Time until the deadline of the call, in milliseconds. */
   readonly remainingMs: number;
-  /** The caller has this event of a stream; go on after it. Default: as it asked. */
+  /** Id of the event after which the stream is resumed; `undefined` if the call's headers decide. */
   readonly resumeAfter: string | undefined;
   /** Backend servers that had the call before. */
   readonly tried: readonly BackendId[];
-  /** Version of the configuration of the first instance; 0: it does not say. */
+  /** Version of the first instance's configuration; 0 if it was not sent. */
   readonly configurationVersion: number;
-  /** Whose call it is, as the first instance found. Default: nobody was identified. */
+  /** Team and key of the caller as identified by the first instance; `undefined` if it identified none. */
   readonly caller: IdentifiedTeam | undefined;
 }
 
-/** What the second instance says of its answer. */
+/** What the second instance tells the first one about its answer. */
 export interface HopAnswer {
-  /** Whether it refuses, and whether the call has run; `answered`: a server's own answer. */
+  /**
+   * `answered`: the answer is that of a server. `not-run`: the call was refused and has not
+   * run. `unknown`: the call was refused and may have run.
+   */
   readonly kind: "answered" | "not-run" | "unknown";
-  /** How long it had the call, in milliseconds. */
+  /** Time for which the second instance had the call, in milliseconds. */
   readonly servedMs: number;
-  /** Servers that it sent the call to. */
+  /** Servers that the second instance sent the call to. */
   readonly tried: readonly BackendId[];
 }
 
-const KINDS: ReadonlySet<string> = new Set(["answered", "not-run", "unknown"]);
+const HOP_ANSWER_KINDS: ReadonlySet<string> = new Set([
+  "answered",
+  "not-run",
+  "unknown",
+]);
 
-/** Headers that only instances set; those of a caller are dropped. */
+/** Returns whether only instances may set a header. Such headers of callers are dropped. */
 export function isHopHeader(name: string): boolean {
   return name === HOP_HEADER || name === HOP_ANSWER_HEADER;
 }
 
-/** Returns the header of a forwarded call. */
+/** Returns the name and the value of the header for a forwarded call. */
 export function writeHop(hop: Hop): readonly [string, string] {
   const fields = new URLSearchParams({
     from: hop.from,
@@ -67,7 +75,7 @@
   return [HOP_HEADER, fields.toString()];
 }
 
-/** Reads who forwarded a call, or `undefined` where nobody did. */
+/** Reads the header of a forwarded call. Returns `undefined` if it is missing or malformed. */
 export function readHop(headers: RawHeaders): Hop | undefined {
   const value = readHeader(headers, HOP_HEADER);
   if (value === undefined) return undefined;
@@ -83,13 +91,13 @@
     service,
     remainingMs,
     resumeAfter: fields.get("after") ?? undefined,
-    tried: toServers(fields.get("tried")),
+    tried: parseServerIds(fields.get("tried")),
     configurationVersion: Number(fields.get("version") ?? 0),
     caller: readCaller(fields),
   };
 }
 
-/** The key itself stays at the first instance: its hash tells whether it is still there. */
+/** Writes the caller with the hash of its key, which shows whether the key is still valid; never the key. */
 function writeCaller(
   fields: URLSearchParams,
   { team, tokenHash }: IdentifiedTeam,
@@ -117,13 +125,13 @@
       priority: priority === null ? undefined : Number(priority),
       homeRegions: homes?.split(" ").filter((home) => home !== "")
         .map(toRegionId),
-      // The first instance has counted the call.
+      // The first instance has counted the call against the limit.
       limit: undefined,
     },
   };
 }
 
-/** Returns the header of an answer to a forwarded call. */
+/** Returns the name and the value of the header for an answer to a forwarded call. */
 export function writeHopAnswer(answer: HopAnswer): readonly [string, string] {
   const fields = new URLSearchParams({
     kind: answer.kind,
@@ -133,21 +141,21 @@
   return [HOP_ANSWER_HEADER, fields.toString()];
 }
 
-/** Reads the header of an answer to a forwarded call. */
+/** Reads the header of an answer to a forwarded call. Returns `undefined` if it is missing or malformed. */
 export function readHopAnswer(headers: RawHeaders): HopAnswer | undefined {
   const value = readHeader(headers, HOP_ANSWER_HEADER);
   if (value === undefined) return undefined;
   const fields = new URLSearchParams(value);
   const kind = fields.get("kind") ?? "";
-  if (!KINDS.has(kind)) return undefined;
+  if (!HOP_ANSWER_KINDS.has(kind)) return undefined;
   return {
     kind: kind as HopAnswer["kind"],
     servedMs: Number(fields.get("servedMs") ?? 0),
-    tried: toServers(fields.get("tried")),
+    tried: parseServerIds(fields.get("tried")),
   };
 }
 
-function toServers(text: string | null): readonly BackendId[] {
+function parseServerIds(text: string | null): readonly BackendId[] {
   if (text === null || text === "") return [];
   return text.split(" ").map(toBackendId);
 }
--- a/forwarding/http_headers.ts
+++ b/forwarding/http_headers.ts
@@ -1,6 +1,6 @@
 import type { RawHeaders } from "./call_grammar.ts";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), or its framing. */
+/** Headers that concern only one connection (RFC 9110, section 7.6.1) or its framing. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -43,14 +43,14 @@
   return values;
 }
 
-/** Longest time that is waited for, in milliseconds, whatever a server asks for. */
+/** Upper bound on the time that `Retry-After` can request, in milliseconds. */
 const MAX_RETRY_AFTER_MS = 600_000;
 
 /**
- * Returns the time that `Retry-After` names, in milliseconds. Dates are not read: the
- * clocks of two processes differ by more than most such times.
+ * Returns the time that a `Retry-After` header requests, in milliseconds. Dates are not
+ * supported: the clocks of two processes differ by more than most of the requested times.
  *
- * @param text Seconds, maybe with a fraction; `undefined`: the header is not there.
+ * @param text Seconds, possibly with a fraction; `undefined` if the header is missing.
  */
 export function parseRetryAfterMs(
   text: string | undefined,
@@ -60,10 +60,10 @@
 }
 
 /**
- * Returns the number that a header holds, or `undefined` where it holds none that is 0 or
- * more.
+ * Returns the number in a header, or `undefined` if the header is missing, not a number
+ * or negative.
  *
- * @param text A decimal number; `undefined`: the header is not there.
+ * @param text A decimal number; `undefined` if the header is missing.
  */
 export function parseAmount(text: string | undefined): number | undefined {
   if (text === undefined || text.trim() === "") return undefined;
@@ -71,25 +71,26 @@
   return Number.isFinite(amount) && amount >= 0 ? amount : undefined;
 }
 
-/** Bytes of a header line beside name and value: colon, space and line end. */
-const LINE_EXTRA_BYTES = 4;
+/** Bytes of a header line besides name and value: colon, space and line break. */
+const HEADER_LINE_OVERHEAD_BYTES = 4;
 
-/** Size of a header block in bytes, as HTTP/1.1 writes it. */
+/** Returns the size of a header block in HTTP/1.1, in bytes. */
 export function measureHeaders(headers: RawHeaders): number {
   const texts = headers.reduce((sum, text) => sum + text.length, 0);
-  return texts + LINE_EXTRA_BYTES * headers.length / 2;
+  return texts + HEADER_LINE_OVERHEAD_BYTES * headers.length / 2;
 }
 
 /**
- * Returns the headers that go on to the next hop.
+ * Returns the headers that are forwarded to the next hop.
  *
- * @param headers As received.
- * @param isKept Decides on a header in lower case that concerns more than the
- *   connection; also asked for one that `Connection` names.
+ * @param headers Headers as received.
+ * @param selectRule Decides on each header that is not one of the fixed connection headers, by
+ *   its name in lower case. `unless-named` drops the header if `Connection` names it.
+ *   Default: `unless-named` for all.
  */
 export function pickForwarded(
   headers: RawHeaders,
-  isKept: (name: string) => "always" | "never" | "unless-named" = () =>
+  selectRule: (name: string) => "always" | "never" | "unless-named" = () =>
     "unless-named",
 ): string[] {
   const named = readNamedByConnection(headers);
@@ -97,7 +98,7 @@
   for (let at = 0; at < headers.length; at += 2) {
     const name = headers[at]!.toLowerCase();
     if (CONNECTION_HEADERS.has(name)) continue;
-    const rule = isKept(name);
+    const rule = selectRule(name);
     if (rule === "never") continue;
     if (rule === "unless-named" && named?.has(name)) continue;
     kept.push(headers[at]!, headers[at + 1]!);
--- a/forwarding/instance_sender.ts
+++ b/forwarding/instance_sender.ts
@@ -3,63 +3,63 @@
 import type { Metrics } from "../metrics/mod.ts";
 import type { CallGrammar } from "./call_grammar.ts";
 import type { Place, PlaceChooser } from "./choose_place.ts";
-import { type Exchange, isRepeatable } from "./exchange.ts";
+import { type Exchange, isRetryable } from "./exchange.ts";
 import { isHopHeader, readHopAnswer, writeHop } from "./hop_headers.ts";
 import { pickForwarded } from "./http_headers.ts";
-import { readPatience } from "./read_patience.ts";
+import { computeFirstByteTimeoutMs } from "./read_patience.ts";
 import { type AttemptOutcome, runAttempt } from "./run_attempt.ts";
 import type { ServerClient } from "./server_client.ts";
 import type { SendOptions } from "./server_sender.ts";
 
 const AUTHORIZATION = "authorization";
 
-/** Connections to one instance, for calls that go to another region. */
+/** Maximum number of connections to one remote instance. */
 const MAX_PEER_CONNECTIONS = 256;
 
-/** What sends to instances of other regions are made with. */
+/** Dependencies of an {@linkcode InstanceSender}. */
 export interface InstanceSenderParts {
   readonly clock: Clock;
   readonly grammar: CallGrammar;
   readonly client: ServerClient;
   readonly fleet: FleetView;
   readonly metrics: Metrics;
-  /** Learns the way to each region, and what is on it. */
-  readonly places: PlaceChooser;
+  /** Records the round trip to each region and the prompt tokens in transit to it. */
+  readonly destinations: PlaceChooser;
 }
 
-/** Forwards calls to instances of other regions: one hop, never a second one. */
+/** Forwards calls to instances of remote regions. A call is forwarded at most once. */
 export class InstanceSender {
   readonly #parts: InstanceSenderParts;
 
-  /** @param parts Ports, and what is counted and learned. */
+  /** @param parts Clock, client, metrics and what is known of the fleet. */
   constructor(parts: InstanceSenderParts) {
     this.#parts = parts;
   }
 
   /**
-   * Forwards a call and passes its answer on.
+   * Forwards a call and passes on its answer.
    *
    * @param exchange The call.
-   * @param place The instance, and the server that it will probably choose.
-   * @param options How it goes on beside other sends.
+   * @param destination The remote instance, and the server that it will probably choose.
+   * @param options How the send is cancelled and handed over.
    */
   async send(
     exchange: Exchange,
-    place: Extract<Place, { kind: "away" }>,
+    destination: Extract<Place, { kind: "away" }>,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
-    const { clock, fleet, grammar, metrics, places } = this.#parts;
+    const { clock, fleet, grammar, metrics, destinations } = this.#parts;
     const { call, facts, progress } = exchange;
-    const { candidate, member, region } = place;
+    const { candidate, member, region } = destination;
     const startMs = clock.nowMs();
     const service = exchange.service.name;
     metrics.count("call.away", 1, { service, region });
-    places.addUnderWay(region, candidate.unreadTokens);
-    let isUnderWay = true;
-    const endWay = () => {
-      if (!isUnderWay) return;
-      isUnderWay = false;
-      places.addUnderWay(region, -candidate.unreadTokens);
+    destinations.addUnderWay(region, candidate.unreadTokens);
+    let isInTransit = true;
+    const endTransit = () => {
+      if (!isInTransit) return;
+      isInTransit = false;
+      destinations.addUnderWay(region, -candidate.unreadTokens);
     };
     const outcome = await runAttempt({
       client: this.#parts.client,
@@ -72,7 +72,8 @@
         headers: [
           ...pickForwarded(
             call.headers,
-            (name) => isKept(name, exchange) ? "unless-named" : "never",
+            (name) =>
+              isForwardedHeader(name, exchange) ? "unless-named" : "never",
           ),
           ...writeHop({
             from: fleet.self.id,
@@ -90,7 +91,7 @@
       callId: facts.callId,
       isHop: true,
       holdsFailures: false,
-      framesEvents: isRepeatable(exchange) &&
+      framesEvents: isRetryable(exchange) &&
         exchange.route.routeClass === "stream",
       progress,
       onHeaders: (headers) => {
@@ -98,24 +99,27 @@
         if (answer === undefined) return;
         answer.tried.forEach((server) => exchange.tried.add(server));
         const roundTripMs = clock.nowMs() - startMs - answer.servedMs;
-        places.recordRoundTrip(region, roundTripMs);
+        destinations.recordRoundTrip(region, roundTripMs);
       },
-      onFirstByte: endWay,
+      onFirstByte: endTransit,
       signal: options.signal ?? exchange.signal,
-      onTaken: options.onTaken,
-      offerElsewhere: options.offerElsewhere,
+      onAccepted: options.onAccepted,
+      startHandover: options.startHandover,
       clock,
-      patienceMs: readPatience(
+      firstByteTimeoutMs: computeFirstByteTimeoutMs(
         exchange,
-        candidate.estimateMs + places.readRoundTripMs(region),
+        candidate.estimateMs + destinations.readRoundTripMs(region),
       ),
     });
-    endWay();
+    endTransit();
     return outcome;
   }
 }
 
-/** Whether a caller's header goes to the other instance: its key stays here. */
-function isKept(name: string, { access: { keepsKeys } }: Exchange): boolean {
-  return !isHopHeader(name) && !(name === AUTHORIZATION && keepsKeys);
+/** Returns whether a caller's header is forwarded; the key is not where callers are identified. */
+function isForwardedHeader(
+  name: string,
+  { access: { withholdsKeys } }: Exchange,
+): boolean {
+  return !isHopHeader(name) && !(name === AUTHORIZATION && withholdsKeys);
 }
--- a/forwarding/offer.ts
+++ b/forwarding/offer.ts
@@ -1,96 +1,94 @@
 import { type Clock, scheduleAfterReading } from "../clock/mod.ts";
 import type { AttemptOutcome, EndedOutcome } from "./run_attempt.ts";
-import type { SentPlace } from "./settle_attempt.ts";
+import type { SendDestination } from "./settle_attempt.ts";
 
 /**
- * Time after which a second place that has said nothing has taken a call on, in
- * milliseconds. A server that is full says so within a round trip, 110 to 160 ms
- * between regions; two servers must not work on one stream for 400 ms, and a busy
- * process is late by 100 ms and more.
+ * Time in milliseconds after which a second destination counts as having accepted a call,
+ * if it has neither answered nor refused it. A full server refuses within one round trip,
+ * which takes 110 to 160 ms between regions. Two servers must not work on one stream for
+ * 400 ms, and timers of a busy process fire 100 ms late or more.
  */
-const TAKEN_AFTER_MS = 200;
+const ACCEPTED_AFTER_MS = 200;
 
-/** Told how an offer went, once. */
-export interface OfferEvents {
-  /** The second place has the call: the first one is to stop. */
-  readonly onTaken: (offer: Offer) => void;
-  /** The second place did not take it: the first one keeps it. */
+/** Notified once of how a handover ended. */
+export interface HandoverEvents {
+  /** The second destination has accepted the call; the send to the first one must stop. */
+  readonly onAccepted: (handover: Handover) => void;
+  /** The second destination did not accept the call; the first one keeps it. */
   readonly onRefused: () => void;
 }
 
-/** How to send a call to the second place. */
-export interface OfferParts {
+/** How to send a call to the second destination. */
+export interface HandoverParts {
   readonly clock: Clock;
-  readonly place: SentPlace;
-  /**
-   * Sends the call. It calls `onTaken` before it passes on anything of an answer.
-   */
+  readonly target: SendDestination;
+  /** Sends the call, and calls `onAccepted` before any part of an answer is passed on. */
   readonly send: (
-    options: { readonly signal: AbortSignal; readonly onTaken: () => void },
+    options: { readonly signal: AbortSignal; readonly onAccepted: () => void },
   ) => Promise<AttemptOutcome>;
-  /** Settles a send that ended before it took the call on. */
+  /** Settles a send that ended before the second destination accepted the call. */
   readonly settle: (outcome: EndedOutcome) => void;
 }
 
 /**
- * A call that is offered to a second place while the first one still has it. A
- * server that has paused looks like one that is gone; if its send were cut off
- * before another one has the call, a caller would lose an answer that was only slow.
+ * A call that is sent to a second destination while the first one still has it. A stalled
+ * server looks like a dead one. If the first send were aborted before another server has
+ * the call, the caller would lose an answer that was merely slow.
  */
-export class Offer {
-  readonly place: SentPlace;
+export class Handover {
+  readonly target: SendDestination;
   /** How the second send ended. */
   readonly outcome: Promise<AttemptOutcome>;
-  readonly #events: OfferEvents;
-  readonly #settle: OfferParts["settle"];
-  readonly #withdrawn = new AbortController();
+  readonly #events: HandoverEvents;
+  readonly #settle: HandoverParts["settle"];
+  readonly #cancelled = new AbortController();
   readonly #decided = new AbortController();
 
   /**
-   * Sends the call to the second place.
+   * Sends the call to the second destination.
    *
-   * @param parts Where and how.
-   * @param events Told how it went.
+   * @param parts The destination, and how to send and settle the call.
+   * @param events Notified of how the handover ended.
    */
-  constructor(parts: OfferParts, events: OfferEvents) {
-    this.place = parts.place;
+  constructor(parts: HandoverParts, events: HandoverEvents) {
+    this.target = parts.target;
     this.#events = events;
     this.#settle = parts.settle;
-    const take = () => this.#take();
+    const accept = () => this.#accept();
     scheduleAfterReading(
       parts.clock,
-      TAKEN_AFTER_MS,
-      take,
+      ACCEPTED_AFTER_MS,
+      accept,
       this.#decided.signal,
     );
     this.outcome = parts.send({
-      signal: this.#withdrawn.signal,
-      onTaken: take,
+      signal: this.#cancelled.signal,
+      onAccepted: accept,
     });
     void this.outcome.then((outcome) => this.#end(outcome));
   }
 
-  /** Takes the call back: the first place answers after all. */
-  withdraw(): void {
-    this.#withdrawn.abort("withdrawn");
+  /** Cancels the second send, because the first destination answers after all. */
+  cancel(): void {
+    this.#cancelled.abort("cancelled");
   }
 
-  /** Leaves the call with the second place, whatever it says. */
-  release(): void {
-    this.#decided.abort("released");
+  /** Leaves the call with the second destination, whatever its outcome; no event follows. */
+  commit(): void {
+    this.#decided.abort("committed");
   }
 
-  #take(): void {
-    if (this.#decided.signal.aborted || this.#withdrawn.signal.aborted) return;
-    this.#decided.abort("taken");
-    this.#events.onTaken(this);
+  #accept(): void {
+    if (this.#decided.signal.aborted || this.#cancelled.signal.aborted) return;
+    this.#decided.abort("accepted");
+    this.#events.onAccepted(this);
   }
 
   #end(outcome: AttemptOutcome): void {
-    // Only a send that has the call hands it over: that was decided before.
+    // A send can only hand over a call that it has accepted, which is decided already.
     if (outcome.kind === "handed-over" || this.#decided.signal.aborted) return;
     this.#decided.abort("ended");
     this.#settle(outcome);
-    if (!this.#withdrawn.signal.aborted) this.#events.onRefused();
+    if (!this.#cancelled.signal.aborted) this.#events.onRefused();
   }
 }
--- a/forwarding/offer_test.ts
+++ b/forwarding/offer_test.ts
@@ -3,18 +3,18 @@
 import { VirtualClock } from "../clock/mod.ts";
 import { createMember } from "../tests/member_fixture.ts";
 import { toRegionId } from "../ids/mod.ts";
-import { Offer } from "./offer.ts";
+import { Handover } from "./offer.ts";
 import type { AttemptOutcome } from "./run_attempt.ts";
-import type { SentPlace } from "./settle_attempt.ts";
+import type { SendDestination } from "./settle_attempt.ts";
 
-const PLACE = {
+const DESTINATION = {
   kind: "away",
   member: createMember("b"),
   region: toRegionId("north"),
-} as unknown as SentPlace;
+} as unknown as SendDestination;
 const REFUSED: AttemptOutcome = {
   kind: "rejected",
-  isOtherServer: false,
+  isMisdirected: false,
   sends: 1,
 };
 
@@ -23,17 +23,17 @@
   const seen: string[] = [];
   let end: (outcome: AttemptOutcome) => void = () => {};
   let answer = () => {};
-  const offer = new Offer({
+  const handover = new Handover({
     clock,
-    place: PLACE,
-    send: ({ onTaken, signal }) => {
-      answer = onTaken;
+    target: DESTINATION,
+    send: ({ onAccepted, signal }) => {
+      answer = onAccepted;
       signal.addEventListener("abort", () => seen.push("stopped"));
       return new Promise((resolve) => (end = resolve));
     },
     settle: ({ kind }) => seen.push(`settled ${kind}`),
   }, {
-    onTaken: () => seen.push("taken"),
+    onAccepted: () => seen.push("taken"),
     onRefused: () => seen.push("refused"),
   });
   return {
@@ -43,14 +43,14 @@
       end(outcome);
       await clock.advance(0);
     },
-    offer,
+    handover,
     seen,
   };
 }
 
-describe("Offer", () => {
-  describe("when the second place refuses the call", () => {
-    it("leaves it with the first one", async () => {
+describe("Handover", () => {
+  describe("when the second destination refuses the call", () => {
+    it("leaves the call with the first one", async () => {
       const { clock, end, seen } = start();
       await clock.advance(100);
       await end(REFUSED);
@@ -59,8 +59,8 @@
     });
   });
 
-  describe("when the second place answers", () => {
-    it("hands the call over at once and once", async () => {
+  describe("when the second destination answers", () => {
+    it("hands the call over immediately and only once", async () => {
       const { answer, clock, end, seen } = start();
       answer();
       assert.deepEqual(seen, ["taken"]);
@@ -70,19 +70,19 @@
     });
   });
 
-  describe("when the second place neither refuses nor answers", () => {
-    it("hands the call over before two servers work on it for 400 ms", async () => {
+  describe("when the second destination neither refuses nor answers", () => {
+    it("hands the call over before two servers have worked on it for 400 ms", async () => {
       const { clock, seen } = start();
       await clock.advance(399);
       assert.deepEqual(seen, ["taken"]);
     });
   });
 
-  describe("when the first place answers after all", () => {
-    it("stops the second one, and settles what it cost", async () => {
-      const { answer, clock, end, offer, seen } = start();
+  describe("when the first destination answers after all", () => {
+    it("stops the send to the second one and settles it", async () => {
+      const { answer, clock, end, handover, seen } = start();
       await clock.advance(100);
-      offer.withdraw();
+      handover.cancel();
       await end({ kind: "given-up" });
       answer();
       await clock.advance(1_000);
@@ -90,14 +90,14 @@
     });
   });
 
-  describe("when the first place fails", () => {
-    it("goes on with the second one, whatever it says", async () => {
-      const { clock, end, offer, seen } = start();
-      offer.release();
+  describe("when the first destination fails", () => {
+    it("stays with the second one, whatever its outcome", async () => {
+      const { clock, end, handover, seen } = start();
+      handover.commit();
       await end(REFUSED);
       await clock.advance(1_000);
       assert.deepEqual(seen, []);
-      assert.deepEqual(await offer.outcome, REFUSED);
+      assert.deepEqual(await handover.outcome, REFUSED);
     });
   });
 });
--- a/forwarding/opaque_call.ts
+++ b/forwarding/opaque_call.ts
@@ -2,10 +2,10 @@
 import type { Hop } from "./hop_headers.ts";
 import type { AnswerHead } from "./server_client.ts";
 
-/** Who sent a call here. */
+/** Who sent a call to this instance. */
 export type CallOrigin =
   | { readonly kind: "caller" }
-  /** Another instance, which the caller has reached: the call goes no further. */
+  /** The instance that the caller reached. A forwarded call is not forwarded again. */
   | { readonly kind: "instance"; readonly hop: Hop };
 
 /** What is known of a call before its body is read. */
@@ -16,28 +16,35 @@
   readonly origin: CallOrigin;
 }
 
-/** A call that was read in full. */
+/** A call that was received in full, and whose body is not interpreted. */
 export interface OpaqueCall extends CallHead {
   readonly method: string;
   readonly body: Buffer;
-  /** When it may have arrived: when its head was read, less `unreadMs`. On the own clock. */
+  /**
+   * Earliest time at which the call may have arrived, in milliseconds on this instance's
+   * clock: the time at which its head was read, minus `unreadMs`.
+   */
   readonly receivedMs: number;
-  /** The longest that it may have waited to be read, in milliseconds. */
+  /** Longest time for which the call may have waited to be read, in milliseconds. */
   readonly unreadMs: number;
 }
 
-/** Where the answer of a call goes. */
+/** Destination of the answer to a call. */
 export interface CallSink {
-  /** Aborts when the caller goes away. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
   /** Sends the head of the answer. */
   begin(head: AnswerHead): void;
-  /** @returns `false` when the caller reads too slowly: wait for `onDrain`. */
+  /**
+   * Writes a part of the body.
+   *
+   * @returns `false` if the caller reads too slowly; the next write should wait for `onDrain`.
+   */
   write(chunk: Buffer): boolean;
-  /** Calls back once when the caller has caught up. */
+  /** Calls back once when more can be written. */
   onDrain(callback: () => void): void;
-  /** Ends a whole answer. */
+  /** Ends a complete answer. */
   end(trailers: RawHeaders): void;
-  /** Ends an answer visibly before its end. */
+  /** Ends an incomplete answer so that the caller can tell that it is incomplete. */
   breakOff(): void;
 }
--- a/forwarding/own_grammar.ts
+++ b/forwarding/own_grammar.ts
@@ -16,28 +16,28 @@
 
 /** The caller's id of one call, which a server may echo. */
 const CALL_ID = "x-call-id";
-/** Milliseconds that the sender will wait. */
+/** Time that the sender will wait, in milliseconds. */
 const REMAINING_MS = "x-deadline-ms";
 /** Id of the backend server that a call is meant for. */
 const SERVER_ID = "x-server-id";
 /** Set by a server that did not run the call. */
 const NOT_RUN = "x-not-run";
-/** Set on all answers of a server that leaves. */
+/** Set on all answers of a server that is shutting down. */
 const LEAVING = "x-leaving";
-/** Calls a second that a server takes from all instances together, as long as it says so. */
+/** Calls per second that a server accepts from all instances together, while it sends the header. */
 const CALL_LIMIT = "x-call-limit";
-/** Milliseconds for which a server stays cold. */
+/** Time for which a server stays cold, in milliseconds. */
 const COLD_MS = "x-cold-ms";
 const RETRY_AFTER = "retry-after";
 const LAST_EVENT_ID = "last-event-id";
 /** The caller's key. */
 const AUTHORIZATION = "authorization";
-/** The team whose call it is, which only the gateway sets. */
+/** Team of the call; only the gateway sets it. */
 const TEAM = "x-team";
 const MISDIRECTED = 421;
 const UNAVAILABLE = 503;
 
-/** The product's own headers, for deployments without another convention. */
+/** The gateway's own headers, for deployments that have no other convention. */
 export const OWN_GRAMMAR: CallGrammar = {
   readCall(headers: RawHeaders): CallFacts {
     const remaining = readHeader(headers, REMAINING_MS);
@@ -73,7 +73,7 @@
   readAnswer(status: number, headers: RawHeaders): AnswerFacts {
     return {
       callId: readHeader(headers, CALL_ID),
-      // These servers sign nothing: whatever they send is their own.
+      // These servers do not sign answers; every answer is taken as the server's own.
       isSigned: true,
       isNotExecuted: readHeader(headers, NOT_RUN) !== undefined,
       isOtherServer: status === MISDIRECTED,
--- a/forwarding/read_patience.ts
+++ b/forwarding/read_patience.ts
@@ -1,28 +1,29 @@
-import { type Exchange, isRepeatable } from "./exchange.ts";
+import { type Exchange, isRetryable } from "./exchange.ts";
 
 /**
- * Silence after which a call that may be repeated is sent elsewhere: so many times
- * what its answer was estimated to take, and at least this part of its objective,
- * so that the second server can still answer in time.
+ * A retryable call whose server is silent is sent to another destination after this many
+ * times the estimated time to its first byte, and not before the fraction of its latency
+ * objective below, so that the second server can still answer in time.
  */
-const SILENCE_ESTIMATES = 4;
-const SILENCE_PART_OF_TARGET = 0.5;
+const TIMEOUT_ESTIMATE_FACTOR = 4;
+const MIN_TIMEOUT_TARGET_FRACTION = 0.5;
 
 /**
- * Returns the silence after which a send is given up for another one, in
- * milliseconds; `undefined`: it is waited for as long as the call has time. Only
- * the first send of a call that may be repeated is cut short.
+ * Returns how long a send waits for the first byte before the call is handed over to
+ * another destination, in milliseconds. Returns `undefined` if the send waits until the
+ * deadline of the call: only retryable calls that have more than one attempt left are
+ * handed over.
  *
  * @param exchange The call.
- * @param estimateMs What its first byte was estimated to take, the way included.
+ * @param estimateMs Estimated time to the first byte, in milliseconds, round trip included.
  */
-export function readPatience(
+export function computeFirstByteTimeoutMs(
   exchange: Exchange,
   estimateMs: number,
 ): number | undefined {
-  if (!isRepeatable(exchange) || exchange.attemptsLeft < 2) return undefined;
+  if (!isRetryable(exchange) || exchange.attemptsLeft < 2) return undefined;
   return Math.max(
-    SILENCE_ESTIMATES * estimateMs,
-    SILENCE_PART_OF_TARGET * exchange.route.targetMs,
+    TIMEOUT_ESTIMATE_FACTOR * estimateMs,
+    MIN_TIMEOUT_TARGET_FRACTION * exchange.route.targetMs,
   );
 }
--- a/forwarding/refusal.ts
+++ b/forwarding/refusal.ts
@@ -1,10 +1,10 @@
 import type { AnswerHead } from "./server_client.ts";
 
-/** Why a call gets no answer of a backend server. */
+/** Why a call gets no answer from a backend server. */
 export type RefusalReason =
   | "no-configuration"
   | "no-route"
-  /** No key, or one that no team holds. */
+  /** The call has no key, or one that no team holds. */
   | "unauthenticated"
   /** No region may serve both the route and the team. */
   | "residency"
@@ -13,41 +13,41 @@
   | "malformed"
   | "too-large"
   | "header-too-large"
-  /** The call did not arrive in time. */
+  /** The call was not received in full in time. */
   | "too-slow"
   | "leaving"
-  /** More calls come than this instance can forward. */
+  /** More calls arrive than this instance can forward. */
   | "overloaded"
-  /** Every server that may run the call is full, or none is there. */
+  /** Every server that may run the call is full, or there is none. */
   | "no-room"
-  /** The time ran out before the call was sent anywhere. */
+  /** The deadline passed before the call was sent to a server. */
   | "no-time"
-  /** Servers ended under the call, whoever sent it: it is sent to no other. */
+  /** Servers crashed while they had the call, whoever sent it; it is sent to no other server. */
   | "quarantined"
-  /** A server refused the call, and no other may be asked. */
+  /** A server refused the call, and it may not be sent to another one. */
   | "rejected"
   /** A server had the call and gave no whole answer. */
   | "no-answer"
-  /** The time ran out while a server had the call. */
+  /** The deadline passed while a server had the call. */
   | "timed-out";
 
-/** A refusal as it goes to the caller. */
+/** A refusal as sent to the caller. */
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly message: string;
-  /** When to come back, in milliseconds. Default: not said. */
+  /** Time after which the caller may retry, in milliseconds. Default: none is sent. */
   readonly retryAfterMs?: number | undefined;
 }
 
 /**
- * Status of each refusal. 429, 503, 408 and 421 promise that the call has not
- * run and never will; 502 and 504 promise nothing.
+ * HTTP status of each refusal. 429, 503, 408 and 421 guarantee that the call has not run
+ * and never will; 502 and 504 guarantee nothing.
  */
 const STATUSES: Readonly<Record<RefusalReason, readonly [number, string]>> = {
   "no-configuration": [503, "Service Unavailable"],
   "no-route": [404, "Not Found"],
   "unauthenticated": [401, "Unauthorized"],
-  // The caller did nothing wrong, and other homes may come into force.
+  // The caller did nothing wrong, and a later configuration may change home regions.
   "residency": [503, "Service Unavailable"],
   "over-limit": [429, "Too Many Requests"],
   "malformed": [400, "Bad Request"],
@@ -58,19 +58,19 @@
   "overloaded": [503, "Service Unavailable"],
   "no-room": [503, "Service Unavailable"],
   "no-time": [503, "Service Unavailable"],
-  // A status of the caller's own fault would speak of proof that there is not.
+  // Not a 4xx status: it is not proven that the call is what crashes the servers.
   "quarantined": [503, "Service Unavailable"],
   "rejected": [503, "Service Unavailable"],
   "no-answer": [502, "Bad Gateway"],
   "timed-out": [504, "Gateway Timeout"],
 };
 
-/** Whether a refusal says that the call has not run. */
+/** Returns whether a refusal guarantees that the call has not run. */
 export function isNotRun(reason: RefusalReason): boolean {
   return reason !== "no-answer" && reason !== "timed-out";
 }
 
-/** Returns a refusal as an answer. */
+/** Returns the answer that a refusal is sent as. */
 export function toRefusalAnswer(
   refusal: Refusal,
 ): { readonly head: AnswerHead; readonly body: Buffer } {
--- a/forwarding/run_attempt.ts
+++ b/forwarding/run_attempt.ts
@@ -3,7 +3,7 @@
 import { EventFramer } from "./event_framer.ts";
 import { isHopHeader, readHopAnswer } from "./hop_headers.ts";
 import { pickForwarded } from "./http_headers.ts";
-import type { Offer, OfferEvents } from "./offer.ts";
+import type { Handover, HandoverEvents } from "./offer.ts";
 import type { CallSink } from "./opaque_call.ts";
 import type {
   ActiveSend,
@@ -16,116 +16,119 @@
 
 /** How one send of a call ended. */
 export type AttemptOutcome =
-  /** The whole answer went to the caller. */
+  /** The complete answer was passed on. */
   | { readonly kind: "answered"; readonly status: number }
-  /** The server's own failure, held back, since the call may be sent once more. */
+  /** The server answered with a failure, which is held back because the call may be retried. */
   | { readonly kind: "failed"; readonly answer: HeldAnswer }
-  /** No byte of the call left. */
+  /** No byte of the call was sent. */
   | { readonly kind: "not-sent"; readonly message: string }
-  /** The server, or another instance for it, says that it did not run the call. */
+  /** The server or the remote instance reported that the call did not run. */
   | {
     readonly kind: "rejected";
-    readonly isOtherServer: boolean;
-    /** How long the server wants nothing from this instance, in milliseconds. Default: it does not say. */
-    readonly restMs?: number | undefined;
-    /** Servers that refused it. */
+    readonly isMisdirected: boolean;
+    /** Cool-down that the server requests from this instance, in milliseconds. Default: none. */
+    readonly cooldownMs?: number | undefined;
+    /** Number of servers that refused the call. */
     readonly sends: number;
   }
-  /** The call may have run; nothing of an answer went to the caller. */
-  | (LostAnswer & { readonly kind: "no-answer" })
-  /** Part of the answer went to the caller. */
-  | (LostAnswer & { readonly kind: "broken" })
-  /** The caller went away, or the time ran out; the send was given up. */
+  /** The call may have run; this send passed on no part of an answer. */
+  | (IncompleteAnswer & { readonly kind: "no-answer" })
+  /** Only a part of the answer was passed on. */
+  | (IncompleteAnswer & { readonly kind: "broken" })
+  /** The send was aborted: the caller left, the deadline passed, or the handover was cancelled. */
   | { readonly kind: "given-up" }
-  /** Another place has the call; `left` is how it ended here. */
+  /** A second destination has the call; `firstOutcome` is that of the first one. */
   | {
     readonly kind: "handed-over";
-    readonly left: EndedOutcome;
-    readonly offer: Offer;
+    readonly firstOutcome: EndedOutcome;
+    readonly handover: Handover;
   };
 
-/** Why there is no whole answer. */
-interface LostAnswer {
+/** Why there is no complete answer. */
+interface IncompleteAnswer {
   readonly message: string;
-  /** Whether the other side ended the connection within the call. Default: no. */
+  /** Whether the other side closed the connection during the call. Default: no. */
   readonly isClosed?: boolean;
 }
 
-/** How a send ended that no other place took over. */
+/** How a send ended that was not handed over. */
 export type EndedOutcome = Exclude<
   AttemptOutcome,
   { readonly kind: "handed-over" }
 >;
 
-/** An answer that was read in full and not passed on. */
+/** An answer that was read in full and has not been passed on. */
 export interface HeldAnswer {
   readonly head: AnswerHead;
   readonly body: Buffer;
   readonly trailers: RawHeaders;
 }
 
-/** What an answer that spans several sends has passed on so far. */
+/** How much of the answer has been passed on so far, over all sends of the call. */
 export interface StreamProgress {
+  /** Whether the head of the answer was passed on. */
   hasBegun: boolean;
+  /** Id of the last event that was passed on, or that the caller had before. */
   lastEventId: string | undefined;
 }
 
-/** One send and what may be done with its answer. */
+/** Inputs of {@linkcode runAttempt}: one send, and how its answer is handled. */
 export interface AttemptParts {
   readonly client: ServerClient;
   readonly grammar: CallGrammar;
   readonly sink: CallSink;
   readonly request: SendRequest;
   readonly callId: string;
-  /** Whether the answer of another instance is awaited, which may be its refusal. */
+  /** Whether the call is forwarded to another instance, which may itself refuse it. */
   readonly isHop: boolean;
-  /** Whether the server's failures are held back in place of passed on. */
+  /** Whether failures of the server are held back instead of passed on. */
   readonly holdsFailures: boolean;
-  /** Whether only whole events are passed on, so that a stream can be resumed. */
+  /** Whether only complete events are passed on, so that the stream can be resumed. */
   readonly framesEvents: boolean;
   readonly progress: StreamProgress;
-  /** Returns headers to add to an answer that is passed on. Default: none. */
-  readonly createMarks?: () => readonly string[];
+  /** Returns headers to add to the answer that is passed on. Default: none. */
+  readonly createHopHeaders?: () => readonly string[];
   /** Called with the headers of the answer. */
   readonly onHeaders?: (headers: RawHeaders) => void;
-  /** Called with what a server's head says, whatever comes of the call. Default: nothing. */
+  /** Called with the facts in the answer's head, even if the answer is not used. Default: nothing. */
   readonly onFacts?: (facts: AnswerFacts) => void;
-  /** Called at each part of the answer. Default: nothing. */
-  readonly onHeard?: () => void;
-  /** Called at the first byte of the answer's body, or at its end. */
+  /** Called for each part of the answer that arrives. Default: nothing. */
+  readonly onActivity?: () => void;
+  /** Called once, at the first byte of the answer's body or at the end of an answer without one. */
   readonly onFirstByte: () => void;
-  /** Gives the send up. */
+  /** Aborts the send. */
   readonly signal: AbortSignal;
   /**
-   * Silence before the first byte after which the call is offered elsewhere, in
-   * milliseconds. Default: it is waited for as long as the call has time.
+   * Time without a first byte after which the call is handed over to another destination,
+   * in milliseconds. Default: the send waits until the deadline of the call.
    */
-  readonly patienceMs?: number | undefined;
+  readonly firstByteTimeoutMs?: number | undefined;
   /**
-   * Whether the server is probably gone, though its connection is open. Asked
-   * now and then while the call runs. Default: never.
+   * Returns whether the server is probably dead although its connection is open. Checked
+   * periodically while the call runs. Default: never.
    */
-  readonly isServerGone?: (() => boolean) | undefined;
-  /** Offers the call to another place; `undefined`: there is none now. */
-  readonly offerElsewhere: (events: OfferEvents) => Offer | undefined;
-  /** Called before anything of an answer is passed on. Default: nothing. */
-  readonly onTaken?: (() => void) | undefined;
+  readonly isServerDead?: (() => boolean) | undefined;
+  /** Starts a handover to a second destination. Returns `undefined` if there is none now. */
+  readonly startHandover: (events: HandoverEvents) => Handover | undefined;
+  /** Called before any part of an answer is passed on. Default: nothing. */
+  readonly onAccepted?: (() => void) | undefined;
   readonly clock: Clock;
 }
 
-/** Pause between looks whether the server is silent, in milliseconds: a fraction of the silence that counts. */
-const SILENCE_CHECK_MS = 250;
+/** Interval of checks for a silent server, in milliseconds: a fraction of the detected silence. */
+const SILENCE_CHECK_INTERVAL_MS = 250;
 
-const LEAST_FAILURE_STATUS = 500;
-/** Statuses by which a gateway promises that a call has not run. */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Largest failure that is held back, in bytes; a larger one is cut off. */
+const MIN_FAILURE_STATUS = 500;
+/** Statuses with which the gateway guarantees callers that a call has not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Maximum body of a failure that is held back, in bytes; a longer body is truncated. */
 const MAX_HELD_BYTES = 65_536;
 
 /**
- * Sends a call once and passes the answer on as it arrives.
+ * Sends a call once and passes on the answer as it arrives.
  *
- * @param parts The send, its answer's way and what may be held back.
+ * @param parts The send, and how its answer is handled.
+ * @returns How the send ended.
  */
 export function runAttempt(parts: AttemptParts): Promise<AttemptOutcome> {
   return new Promise((resolve) => {
@@ -141,9 +144,9 @@
   readonly #ended = new AbortController();
   readonly #giveUp = () => this.#finish({ kind: "given-up" }, true);
   #send: ActiveSend | undefined;
-  #offer: Offer | undefined;
-  #isPatienceOver = false;
-  #isCheckDue = false;
+  #handover: Handover | undefined;
+  #isTimeoutOver = false;
+  #isCheckScheduled = false;
   #head: AnswerHead | undefined;
   #held: Buffer[] | undefined;
   #heldBytes = 0;
@@ -161,26 +164,26 @@
   }
 
   start(): void {
-    const { client, clock, patienceMs, request, signal } = this.#parts;
+    const { client, clock, firstByteTimeoutMs, request, signal } = this.#parts;
     if (signal.aborted) {
       this.#finish({ kind: "given-up" });
       return;
     }
     signal.addEventListener("abort", this.#giveUp, { once: true });
-    if (patienceMs !== undefined) {
-      scheduleAfterReading(clock, patienceMs, () => {
-        this.#isPatienceOver = true;
+    if (firstByteTimeoutMs !== undefined) {
+      scheduleAfterReading(clock, firstByteTimeoutMs, () => {
+        this.#isTimeoutOver = true;
         this.#checkSilence();
       }, this.#ended.signal);
     }
-    this.#checkSilenceLater();
+    this.#scheduleSilenceCheck();
     this.#send = client.send(request, this);
     if (this.#isFinished) this.#send.abort();
   }
 
   onHead(head: AnswerHead): void {
     if (this.#isFinished) return;
-    this.#parts.onHeard?.();
+    this.#parts.onActivity?.();
     const { callId, grammar, holdsFailures, isHop } = this.#parts;
     this.#parts.onHeaders?.(head.headers);
     const facts = grammar.readAnswer(head.status, head.headers);
@@ -189,7 +192,7 @@
     if (hopAnswer?.kind === "not-run") {
       this.#finish({
         kind: "rejected",
-        isOtherServer: false,
+        isMisdirected: false,
         sends: hopAnswer.tried.length,
       });
       return;
@@ -202,71 +205,76 @@
       return;
     }
     if (facts.callId !== undefined && facts.callId !== callId) {
-      this.#loseAnswer(`The answer belongs to call "${facts.callId}"`);
+      this.#abortAnswer(`The answer belongs to call "${facts.callId}"`);
       return;
     }
     if (facts.isNotExecuted || facts.isOtherServer) {
-      // The body of a rejection is short: reading it keeps the connection.
+      // The send is not aborted: the body of a rejection is short, and reading it to its
+      // end keeps the connection open for other calls.
       this.#finish({
         kind: "rejected",
-        isOtherServer: facts.isOtherServer,
-        restMs: facts.restMs,
+        isMisdirected: facts.isOtherServer,
+        cooldownMs: facts.restMs,
         sends: 1,
       });
       return;
     }
-    if (PROMISING_STATUSES.has(head.status)) {
-      this.#loseAnswer(
+    if (NOT_RUN_STATUSES.has(head.status)) {
+      this.#abortAnswer(
         `The server answered ${head.status} without saying that it did not run the call`,
       );
       return;
     }
     const isSuccess = head.status >= 200 && head.status < 300;
     if (isSuccess && (!facts.isSigned || facts.isCoded)) {
-      this.#loseAnswer("The answer is not the server's own");
+      this.#abortAnswer(
+        "The answer is unsigned or content-encoded, so not the server's own",
+      );
       return;
     }
     this.#head = head;
-    const isFailure = head.status >= LEAST_FAILURE_STATUS;
-    // An answer that has begun goes on with nothing but a success.
+    const isFailure = head.status >= MIN_FAILURE_STATUS;
+    // An answer that has begun can only be continued by a success.
     const isHeld = this.#parts.progress.hasBegun
       ? !isSuccess
       : isFailure && holdsFailures;
     if (isHeld) this.#held = [];
-    else this.#keepAnswer();
+    else this.#acceptAnswer();
   }
 
   onData(chunk: Buffer): boolean {
     if (this.#isFinished) return true;
-    this.#parts.onHeard?.();
-    this.#noteFirstByte();
-    this.#takeOfferBack();
+    this.#parts.onActivity?.();
+    this.#recordFirstByte();
+    this.#cancelHandover();
     if (this.#held !== undefined) {
       this.#heldBytes += chunk.length;
       if (this.#heldBytes <= MAX_HELD_BYTES) this.#held.push(chunk);
       return true;
     }
-    if (this.#framer === undefined) return this.#pass(chunk);
+    if (this.#framer === undefined) return this.#passOn(chunk);
     const events = this.#framer.push(chunk);
     if (events.length === 0) return true;
     const lastId = events.findLast(({ id }) => id !== undefined)?.id;
-    const hasRoom = this.#pass(Buffer.concat(events.map(({ bytes }) => bytes)));
+    const canContinue = this.#passOn(
+      Buffer.concat(events.map(({ bytes }) => bytes)),
+    );
     this.#parts.progress.lastEventId = lastId ??
       this.#parts.progress.lastEventId;
-    return hasRoom;
+    return canContinue;
   }
 
   onEnd(trailers: RawHeaders): void {
     if (this.#isFinished) return;
-    this.#noteFirstByte();
+    this.#recordFirstByte();
     if (this.#held !== undefined) {
       const body = Buffer.concat(this.#held);
       const answer = { head: this.#head!, body, trailers };
       this.#finish({ kind: "failed", answer });
       return;
     }
-    if (this.#framer !== undefined && this.#framer.rest.length > 0) {
-      this.#pass(this.#framer.rest);
+    if (this.#framer !== undefined && this.#framer.pending.length > 0) {
+      this.#passOn(this.#framer.pending);
     }
     this.#begin();
     this.#parts.sink.end(trailers);
@@ -284,73 +292,74 @@
     this.#finish({ kind, message, isClosed: failure.kind === "closed" });
   }
 
-  /** Whether the first byte takes longer than it should. */
-  get #isLate(): boolean {
-    return this.#isPatienceOver && !this.#hasFirstByte;
+  /** Whether the first byte has not arrived within its timeout. */
+  get #isFirstByteLate(): boolean {
+    return this.#isTimeoutOver && !this.#hasFirstByte;
   }
 
-  #checkSilenceLater(): void {
-    // A send that nothing is to be learned of wakes the process for nothing.
-    const isWatched = this.#parts.isServerGone !== undefined || this.#isLate;
-    if (this.#isCheckDue || !isWatched) return;
-    this.#isCheckDue = true;
-    scheduleAfterReading(this.#parts.clock, SILENCE_CHECK_MS, () => {
-      this.#isCheckDue = false;
+  #scheduleSilenceCheck(): void {
+    // Without a reason to check, a timer would only wake the process.
+    const isWatched = this.#parts.isServerDead !== undefined ||
+      this.#isFirstByteLate;
+    if (this.#isCheckScheduled || !isWatched) return;
+    this.#isCheckScheduled = true;
+    scheduleAfterReading(this.#parts.clock, SILENCE_CHECK_INTERVAL_MS, () => {
+      this.#isCheckScheduled = false;
       this.#checkSilence();
     }, this.#ended.signal);
   }
 
   /**
-   * Offers the call elsewhere where this server is silent. The send goes on until
-   * another place has the call: a server that pauses for a second with answers
-   * under way looks like one that is gone.
+   * Starts a handover if the server is silent. The send continues until another destination
+   * has the call: a server that stalls for a second while it streams answers looks like a
+   * dead one.
    */
   #checkSilence(): void {
-    if (this.#isFinished || this.#offer !== undefined) return;
-    if (this.#isLate || this.#parts.isServerGone?.()) {
-      this.#offer = this.#parts.offerElsewhere({
-        onTaken: () => this.#loseAnswer("The server is silent"),
+    if (this.#isFinished || this.#handover !== undefined) return;
+    if (this.#isFirstByteLate || this.#parts.isServerDead?.()) {
+      this.#handover = this.#parts.startHandover({
+        onAccepted: () => this.#abortAnswer("The server is silent"),
         onRefused: () => {
-          this.#offer = undefined;
-          this.#checkSilenceLater();
+          this.#handover = undefined;
+          this.#scheduleSilenceCheck();
         },
       });
     }
-    if (this.#offer === undefined) this.#checkSilenceLater();
+    if (this.#handover === undefined) this.#scheduleSilenceCheck();
   }
 
-  /** This server answers: whoever else was offered the call is to stop. */
-  #takeOfferBack(): void {
-    if (this.#offer === undefined) return;
-    this.#offer.withdraw();
-    this.#offer = undefined;
-    this.#checkSilenceLater();
+  /** Cancels the handover, because the server of this send answers. */
+  #cancelHandover(): void {
+    if (this.#handover === undefined) return;
+    this.#handover.cancel();
+    this.#handover = undefined;
+    this.#scheduleSilenceCheck();
   }
 
-  #keepAnswer(): void {
-    this.#takeOfferBack();
-    this.#parts.onTaken?.();
+  #acceptAnswer(): void {
+    this.#cancelHandover();
+    this.#parts.onAccepted?.();
   }
 
-  /** Drops the connection: what follows on it cannot be trusted. */
-  #loseAnswer(message: string): void {
+  /** Ends the attempt and closes the connection, whose further data cannot be trusted. */
+  #abortAnswer(message: string): void {
     const kind = this.#hasPassedBytes ? "broken" : "no-answer";
     this.#finish({ kind, message }, true);
   }
 
-  #noteFirstByte(): void {
+  #recordFirstByte(): void {
     if (this.#hasFirstByte) return;
     this.#hasFirstByte = true;
     this.#parts.onFirstByte();
   }
 
-  #pass(chunk: Buffer): boolean {
+  #passOn(chunk: Buffer): boolean {
     this.#begin();
     this.#hasPassedBytes = true;
     const { sink } = this.#parts;
-    const hasRoom = sink.write(chunk);
-    if (!hasRoom) sink.onDrain(() => this.#send?.resume());
-    return hasRoom;
+    const canContinue = sink.write(chunk);
+    if (!canContinue) sink.onDrain(() => this.#send?.resume());
+    return canContinue;
   }
 
   #begin(): void {
@@ -361,8 +370,8 @@
       this.#head!.headers,
       (name) => isHopHeader(name) ? "never" : "unless-named",
     );
-    const marks = this.#parts.createMarks?.() ?? [];
-    sink.begin({ ...this.#head!, headers: [...kept, ...marks] });
+    const hopHeaders = this.#parts.createHopHeaders?.() ?? [];
+    sink.begin({ ...this.#head!, headers: [...kept, ...hopHeaders] });
   }
 
   #finish(outcome: EndedOutcome, isAborted = false): void {
@@ -371,18 +380,18 @@
     this.#ended.abort("finished");
     this.#parts.signal.removeEventListener("abort", this.#giveUp);
     if (isAborted) this.#send?.abort();
-    this.#resolve(this.#settleOffer(outcome));
+    this.#resolve(this.#settleHandover(outcome));
   }
 
-  /** An offer under way goes on without this send, unless the answer is whole or nobody waits. */
-  #settleOffer(outcome: EndedOutcome): AttemptOutcome {
-    const offer = this.#offer;
-    if (offer === undefined) return outcome;
+  /** Leaves the call with a pending handover, unless the answer is complete or nobody waits for it. */
+  #settleHandover(outcome: EndedOutcome): AttemptOutcome {
+    const handover = this.#handover;
+    if (handover === undefined) return outcome;
     if (outcome.kind === "answered" || outcome.kind === "given-up") {
-      offer.withdraw();
+      handover.cancel();
       return outcome;
     }
-    offer.release();
-    return { kind: "handed-over", left: outcome, offer };
+    handover.commit();
+    return { kind: "handed-over", firstOutcome: outcome, handover };
   }
 }
--- a/forwarding/server_client.ts
+++ b/forwarding/server_client.ts
@@ -9,7 +9,7 @@
   readonly target: string;
   readonly headers: string[];
   readonly body: Buffer;
-  /** Connections that may be open to the address. */
+  /** Maximum number of open connections to the address. */
   readonly maxConnections: number;
 }
 
@@ -20,17 +20,18 @@
   readonly headers: RawHeaders;
 }
 
-/** Why a send gave no whole answer. */
+/** Why a send got no complete answer. */
 export interface SendFailure {
   /**
-   * `not-sent`: no byte of the call has left; otherwise it may have run. `closed`: the
-   * other side ended the connection within it, as a server does that ends itself.
+   * `not-sent`: no byte of the call was sent. After any other failure, the call may have run.
+   * `closed`: the other side closed the connection during the call, as happens when a
+   * server crashes.
    */
   readonly kind: "not-sent" | "closed" | "unknown";
   readonly message: string;
 }
 
-/** What becomes of a send; exactly one of `onEnd` and `onFailure` comes last. */
+/** Receives the events of a send. The last one is either `onEnd` or `onFailure`. */
 export interface SendEvents {
   onHead(head: AnswerHead): void;
   /** @returns `false` to pause until {@linkcode ActiveSend.resume}. */
@@ -39,15 +40,16 @@
   onFailure(failure: SendFailure): void;
 }
 
-/** A send that is under way. */
+/** A send in progress. */
 export interface ActiveSend {
-  /** Goes on after a pause. */
+  /** Continues reading the answer after a pause. */
   resume(): void;
-  /** Closes the connection, so that the server stops work. No event follows. */
+  /** Closes the connection, so that the server stops working on the call. No event follows. */
   abort(): void;
 }
 
-/** Sends calls to backend servers and to other instances over kept connections. */
+/** Sends calls to backend servers and to other instances over persistent connections. */
 export interface ServerClient {
+  /** Starts to send a call, and reports what follows to `events`. */
   send(request: SendRequest, events: SendEvents): ActiveSend;
 }
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -6,10 +6,10 @@
 import type { RegisteredServer, ServerRegistry } from "../servers/mod.ts";
 import type { AnswerFacts, CallGrammar } from "./call_grammar.ts";
 import type { Candidate } from "./choose_server.ts";
-import { type Exchange, isRepeatable } from "./exchange.ts";
+import { type Exchange, isRetryable } from "./exchange.ts";
 import type { LearnedServers } from "./learned_servers.ts";
-import { readPatience } from "./read_patience.ts";
-import type { Offer, OfferEvents } from "./offer.ts";
+import { computeFirstByteTimeoutMs } from "./read_patience.ts";
+import type { Handover, HandoverEvents } from "./offer.ts";
 import {
   type AttemptOutcome,
   type EndedOutcome,
@@ -18,25 +18,28 @@
 import type { ServerClient } from "./server_client.ts";
 import type { ServerOutcome } from "./server_health.ts";
 
-/** How long a server is left out whose address another one has, in milliseconds: its entry lapses meanwhile. */
-const REPLACED_PAUSE_MS = 4_000;
 /**
- * Time from the first byte of an answer, in milliseconds, after which a server that
- * ends does not end for that call: one that ends servers does so as it begins to run.
+ * How long a server is excluded after another server answered at its address, in
+ * milliseconds. The entry of the excluded server expires in that time.
+ */
+const MISDIRECTED_SUSPENSION_MS = 4_000;
+/**
+ * Time from the first byte of an answer, in milliseconds, after which a crash of the server
+ * is not attributed to the call: a call that crashes servers does so as it begins to run.
  */
 export const BEGINNING_MS = 500;
 
-/** How one send goes on beside others of the same call. */
+/** How one send is cancelled and handed over. */
 export interface SendOptions {
-  /** Offers the call to another place while this one has it; `undefined`: there is none now. */
-  readonly offerElsewhere: (events: OfferEvents) => Offer | undefined;
-  /** Gives the send up. Default: the signal of the call. */
+  /** Starts a handover to a second destination. Returns `undefined` if there is none now. */
+  readonly startHandover: (events: HandoverEvents) => Handover | undefined;
+  /** Aborts the send. Default: the signal of the exchange. */
   readonly signal?: AbortSignal;
-  /** Called before anything of an answer is passed on. Default: nothing. */
-  readonly onTaken?: () => void;
+  /** Called before any part of an answer is passed on. Default: nothing. */
+  readonly onAccepted?: () => void;
 }
 
-/** What sends to backend servers are made with. */
+/** Dependencies of a {@linkcode ServerSender}. */
 export interface ServerSenderParts {
   readonly clock: Clock;
   readonly grammar: CallGrammar;
@@ -45,29 +48,32 @@
   readonly fleet: FleetView;
   readonly loads: LoadBoard;
   readonly learned: LearnedServers;
-  /** Learns under which calls servers end. */
+  /** Records crashes of servers and the calls that they had. */
   readonly quarantine: CallQuarantine;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Returns headers that an answer gets beside the server's own. */
-  readonly createMarks: (exchange: Exchange) => readonly string[];
+  /** Returns headers to add to those of the server's answer. */
+  readonly createHopHeaders: (exchange: Exchange) => readonly string[];
 }
 
-/** Sends calls to backend servers, counts their load meanwhile, and learns from their ends. */
+/**
+ * Sends calls to backend servers, counts them as load while they run, and records what their
+ * outcomes show about the servers.
+ */
 export class ServerSender {
   readonly #parts: ServerSenderParts;
 
-  /** @param parts Ports, and what is counted and learned. */
+  /** @param parts Clock, client, logger, metrics and what is known of servers. */
   constructor(parts: ServerSenderParts) {
     this.#parts = parts;
   }
 
   /**
-   * Sends a call to a server and passes its answer on.
+   * Sends a call to a server and passes on its answer.
    *
    * @param exchange The call.
-   * @param candidate The server, with what the call costs it.
-   * @param options How it goes on beside other sends.
+   * @param candidate The server, with the estimated cost of the call there.
+   * @param options How the send is cancelled and handed over.
    */
   async send(
     exchange: Exchange,
@@ -78,9 +84,9 @@
     const { server: { entry }, unreadTokens } = candidate;
     const { call, service } = exchange;
     const startMs = clock.nowMs();
-    const aheadTokens = loads.readTotal(entry.id).pendingTokens;
+    const queuedTokens = loads.readTotal(entry.id).pendingTokens;
     const load = this.#beginLoad(candidate);
-    const pulse = learned.pulses.begin(entry.id, startMs);
+    const liveness = learned.pulses.begin(entry.id, startMs);
     this.#recordSend(exchange, candidate, startMs);
     learned.crowd.record(
       service.name,
@@ -88,7 +94,7 @@
       startMs,
     );
     let firstByteMs: number | undefined;
-    const mayGoOn = isRepeatable(exchange) && exchange.attemptsLeft > 1;
+    const canRetry = isRetryable(exchange) && exchange.attemptsLeft > 1;
     const outcome = await runAttempt({
       client: this.#parts.client,
       grammar,
@@ -101,50 +107,55 @@
           serverName: entry.name,
           rank: exchange.access.rank,
           team: exchange.access.caller?.team.id,
-          keepsKeys: exchange.access.keepsKeys,
+          keepsKeys: exchange.access.withholdsKeys,
           remainingMs: Math.max(1, Math.floor(exchange.dueMs - startMs)),
           lastEventId: exchange.progress.lastEventId,
         }),
         body: call.body,
-        maxConnections: this.#readConnectionShare(candidate, exchange),
+        maxConnections: this.#computeMaxConnections(candidate, exchange),
       },
       callId: exchange.facts.callId,
       isHop: false,
-      holdsFailures: mayGoOn,
-      framesEvents: isRepeatable(exchange) &&
+      holdsFailures: canRetry,
+      framesEvents: isRetryable(exchange) &&
         exchange.route.routeClass === "stream",
       progress: exchange.progress,
-      createMarks: () => this.#parts.createMarks(exchange),
-      onHeard: () => pulse.hear(clock.nowMs()),
-      onFacts: (facts) => this.#learnFacts(entry, facts, startMs),
+      createHopHeaders: () => this.#parts.createHopHeaders(exchange),
+      onActivity: () => liveness.hear(clock.nowMs()),
+      onFacts: (facts) => this.#recordFacts(entry, facts, startMs),
       onFirstByte: () => {
         load.endReading();
         firstByteMs = clock.nowMs();
         const tookMs = firstByteMs - startMs;
         learned.speeds.record(entry.id, service.name, {
-          tokens: aheadTokens + unreadTokens,
+          tokens: queuedTokens + unreadTokens,
           firstByteMs: tookMs,
         });
         metrics.time("call.first_byte_ms", tookMs, { service: service.name });
       },
       signal: options.signal ?? exchange.signal,
-      onTaken: options.onTaken,
-      offerElsewhere: options.offerElsewhere,
+      onAccepted: options.onAccepted,
+      startHandover: options.startHandover,
       clock,
-      patienceMs: readPatience(exchange, candidate.estimateMs),
-      isServerGone: mayGoOn
+      firstByteTimeoutMs: computeFirstByteTimeoutMs(
+        exchange,
+        candidate.estimateMs,
+      ),
+      isServerDead: canRetry
         ? () => learned.pulses.isGone(entry.id, clock.nowMs())
         : undefined,
     });
     load.end();
-    pulse.end();
-    const ended = outcome.kind === "handed-over" ? outcome.left : outcome;
-    this.#learn(exchange, candidate, ended);
-    this.#learnOfCall(exchange, candidate, ended, firstByteMs);
+    liveness.end();
+    const ended = outcome.kind === "handed-over"
+      ? outcome.firstOutcome
+      : outcome;
+    this.#recordOutcome(exchange, candidate, ended);
+    this.#recordForQuarantine(exchange, candidate, ended, firstByteMs);
     return outcome;
   }
 
-  /** Counts a call as load of its server until it ends. */
+  /** Counts a call as load of its server until the returned functions end its prompt reading and the call. */
   #beginLoad(
     candidate: Candidate,
   ): { readonly endReading: () => void; readonly end: () => void } {
@@ -190,7 +201,7 @@
     exchange.sentTo.push(entry.id);
   }
 
-  /** Returns how long a call holds up those behind it at its server, in milliseconds. */
+  /** Returns how long the prompt of a call delays the calls behind it at its server, in milliseconds. */
   #estimateReadingMs(
     { server: { entry: { id, service } }, unreadTokens }: Candidate,
   ): number {
@@ -199,7 +210,7 @@
       speeds.estimateMs(id, service, 0);
   }
 
-  #readConnectionShare(
+  #computeMaxConnections(
     { server: { entry } }: Candidate,
     { service }: Exchange,
   ): number {
@@ -207,7 +218,7 @@
     return Math.max(1, Math.floor(service.maxConnections / instances));
   }
 
-  #learn(
+  #recordOutcome(
     exchange: Exchange,
     candidate: Candidate,
     outcome: EndedOutcome,
@@ -215,13 +226,13 @@
     const { clock, learned: { health }, logger } = this.#parts;
     const { id } = candidate.server.entry;
     const nowMs = clock.nowMs();
-    if (outcome.kind === "rejected" && outcome.isOtherServer) {
-      health.suspend(id, nowMs + REPLACED_PAUSE_MS);
+    if (outcome.kind === "rejected" && outcome.isMisdirected) {
+      health.suspend(id, nowMs + MISDIRECTED_SUSPENSION_MS);
     }
-    const told = toServerOutcome(outcome);
-    if (told === undefined) return;
+    const serverOutcome = toServerOutcome(outcome);
+    if (serverOutcome === undefined) return;
     const route = exchange.route.name;
-    if (health.record(id, { outcome: told, route }, nowMs)) {
+    if (health.record(id, { outcome: serverOutcome, route }, nowMs)) {
       logger.warn("server left out", {
         server: id,
         service: exchange.service.name,
@@ -229,17 +240,17 @@
     }
   }
 
-  /** Learns what a server says of itself in the head of an answer. */
-  #learnFacts(
+  /** Records what a server reports about itself in the head of an answer. */
+  #recordFacts(
     server: RegisteredServer,
     facts: AnswerFacts,
     sentMs: number,
   ): void {
-    const { coldForMs, isLeaving, isOtherServer, restMs } = facts;
+    const { coldForMs, isLeaving, isOtherServer, restMs: cooldownMs } = facts;
     const { id, service } = server;
-    // Another server has the address: it speaks of itself.
+    // Another server has the address, and the answer is about that server.
     if (isOtherServer) return;
-    this.#learnLimit(server, facts, sentMs);
+    this.#recordLimit(server, facts, sentMs);
     const { clock, learned: { health }, logger, registry } = this.#parts;
     const nowMs = clock.nowMs();
     if (coldForMs !== undefined && coldForMs > 0) {
@@ -248,18 +259,21 @@
     if (isLeaving && registry.markLeaving(id)) {
       logger.info("server says that it leaves", { server: id, service });
     }
-    if (restMs !== undefined && health.rest(id, nowMs + restMs, nowMs)) {
-      const forMs = Math.round(restMs);
+    if (
+      cooldownMs !== undefined && health.rest(id, nowMs + cooldownMs, nowMs)
+    ) {
+      const forMs = Math.round(cooldownMs);
       logger.info("server asks for rest", { server: id, service, forMs });
     }
   }
 
-  #learnLimit(
+  #recordLimit(
     { id, service }: RegisteredServer,
     { isNotExecuted, limitPerSecond: perSecond }: AnswerFacts,
     sentMs: number,
   ): void {
-    // Who turns calls away has need, whether its answer names a limit or not.
+    // A rejection without a limit does not lift the known one: a server that rejects calls
+    // still needs it.
     if (isNotExecuted && perSecond === undefined) return;
     const { clock, learned: { limits }, logger } = this.#parts;
     if (!limits.hear(id, { perSecond, sentMs }, clock.nowMs())) return;
@@ -270,8 +284,8 @@
     }
   }
 
-  /** Learns whether the call is one under which servers end. */
-  #learnOfCall(
+  /** Records for the quarantine whether the call was answered or its server crashed. */
+  #recordForQuarantine(
     { content }: Exchange,
     { server: { entry: { id } } }: Candidate,
     outcome: EndedOutcome,
@@ -280,25 +294,25 @@
     const { clock, quarantine } = this.#parts;
     const nowMs = clock.nowMs();
     if (isServed(outcome)) quarantine.recordAnswer(content, nowMs);
-    if (hasEndedServer(outcome, firstByteMs, nowMs)) {
+    if (hasCrashedServer(outcome, firstByteMs, nowMs)) {
       quarantine.recordEnd(content, id, nowMs);
     }
   }
 }
 
-/** Whether an attempt ended with its server, before the call had run for long. */
-function hasEndedServer(
+/** Returns whether the server crashed before the call had run for long. */
+function hasCrashedServer(
   outcome: EndedOutcome,
   firstByteMs: number | undefined,
   nowMs: number,
 ): boolean {
   const isLost = outcome.kind === "no-answer" || outcome.kind === "broken";
-  const isBeginning = firstByteMs === undefined ||
+  const isEarly = firstByteMs === undefined ||
     nowMs - firstByteMs < BEGINNING_MS;
-  return isLost && isBeginning && outcome.isClosed === true;
+  return isLost && isEarly && outcome.isClosed === true;
 }
 
-/** Whether a server answered, and not with a failure of its own. */
+/** Returns whether a server answered with something other than a failure of its own. */
 function isServed(outcome: EndedOutcome): boolean {
   return outcome.kind === "answered" && outcome.status < 500;
 }
@@ -314,7 +328,7 @@
     case "broken":
       return "no-answer";
     case "rejected":
-      return outcome.isOtherServer ? undefined : "rejected";
+      return outcome.isMisdirected ? undefined : "rejected";
     case "given-up":
       return undefined;
   }
--- a/forwarding/settle_attempt.ts
+++ b/forwarding/settle_attempt.ts
@@ -1,39 +1,42 @@
 import type { Place } from "./choose_place.ts";
-import { type Exchange, isRepeatable, isResumableNow } from "./exchange.ts";
+import { type Exchange, isResumableNow, isRetryable } from "./exchange.ts";
 import type { Refusal } from "./refusal.ts";
 import type { EndedOutcome } from "./run_attempt.ts";
 
-/** When to come back after a refusal for want of room, in milliseconds. */
+/** When callers may retry after a refusal for lack of capacity, in milliseconds. */
 export const NO_ROOM_RETRY_MS = 150;
 
-/** A place that a call was sent to. */
-export type SentPlace = Extract<Place, { readonly kind: "here" | "away" }>;
+/** A server or a remote instance that a call can be sent to. */
+export type SendDestination = Extract<
+  Place,
+  { readonly kind: "here" | "away" }
+>;
 
-/** What follows an attempt. */
+/** What happens after an attempt. */
 export type NextStep =
-  /** The answer is with the caller. */
+  /** The caller has the answer. */
   | { readonly kind: "done" }
-  /** A place is chosen again: no byte of the call left. */
+  /** Another destination is chosen, without the use of a retry. */
   | { readonly kind: "choose-again" }
-  /** The call may be sent once more, within its attempts and the shared budget; else it is refused. */
+  /** The call is retried if its attempts and the shared retry budget allow it, and refused otherwise. */
   | { readonly kind: "repeat"; readonly refusal: Refusal }
-  /** The call may have run and must not run twice. */
+  /** The call is refused: it may have run and must not run twice. */
   | { readonly kind: "end"; readonly refusal: Refusal };
 
 /**
- * Decides what follows an attempt, and records in the exchange what it cost.
+ * Decides what happens after an attempt, and records in the exchange what the attempt cost.
  *
- * A call is sent a second time only where nothing can run twice: a server said
- * that it did not run it, or the call may be repeated and what its caller has
- * of an answer can be gone on from.
+ * A call is sent a second time only if it cannot do harm by running twice: either a server
+ * reported that it did not run the call, or the call is retryable and the part of the
+ * answer that the caller already has can be continued.
  *
- * @param exchange The call; its attempts, and places to avoid, are updated.
- * @param place Where it was sent.
- * @param outcome How that ended.
+ * @param exchange The call; its attempts and the destinations to avoid are updated.
+ * @param destination Where the call was sent.
+ * @param outcome How the attempt ended.
  */
 export function settleAttempt(
   exchange: Exchange,
-  place: SentPlace,
+  destination: SendDestination,
   outcome: EndedOutcome,
 ): NextStep {
   switch (outcome.kind) {
@@ -41,16 +44,17 @@
       return { kind: "done" };
     case "given-up":
       exchange.mayHaveRun = true;
-      // Time is over or the caller is gone: whoever chooses again sees it.
+      // The deadline has passed or the caller has disconnected: the exchange's signal is
+      // aborted, and no other destination is chosen.
       return { kind: "choose-again" };
     case "not-sent":
-      avoidInstance(exchange, place);
+      avoidInstance(exchange, destination);
       return { kind: "choose-again" };
     case "rejected":
-      if (place.kind === "away") {
-        exchange.avoidedRegions.add(place.region);
+      if (destination.kind === "away") {
+        exchange.avoidedRegions.add(destination.region);
         exchange.attemptsLeft -= outcome.sends;
-      } else if (!outcome.isOtherServer) exchange.attemptsLeft--;
+      } else if (!outcome.isMisdirected) exchange.attemptsLeft--;
       return {
         kind: "repeat",
         refusal: {
@@ -64,17 +68,17 @@
       exchange.attemptsLeft--;
       exchange.mayHaveRun = true;
       return {
-        kind: isRepeatable(exchange) ? "repeat" : "end",
+        kind: isRetryable(exchange) ? "repeat" : "end",
         refusal: { reason: "no-answer", message: "A server failed" },
       };
     case "no-answer":
     case "broken": {
       exchange.attemptsLeft--;
       exchange.mayHaveRun = true;
-      avoidInstance(exchange, place);
-      const mayRepeat = isRepeatable(exchange) && isResumableNow(exchange);
+      avoidInstance(exchange, destination);
+      const canRetry = isRetryable(exchange) && isResumableNow(exchange);
       return {
-        kind: mayRepeat ? "repeat" : "end",
+        kind: canRetry ? "repeat" : "end",
         refusal: {
           reason: "no-answer",
           message: "A server had the call and gave no whole answer",
@@ -85,23 +89,26 @@
 }
 
 /**
- * Records what an offer cost that another place did not take on.
+ * Records what a handover cost that the second destination did not accept.
  *
- * @param exchange The call, which its first place still has.
- * @param place Where it was offered.
- * @param outcome How that ended.
+ * @param exchange The call, which the first destination still has.
+ * @param destination The second destination.
+ * @param outcome How the send to the second destination ended.
  */
-export function settleOffer(
+export function settleHandover(
   exchange: Exchange,
-  place: SentPlace,
+  destination: SendDestination,
   outcome: EndedOutcome,
 ): void {
-  // A server from which the call was taken back may have run it.
+  // A server whose send was cancelled may have run the call.
   if (outcome.kind === "given-up") exchange.attemptsLeft--;
-  settleAttempt(exchange, place, outcome);
+  settleAttempt(exchange, destination, outcome);
 }
 
-/** Leaves the instance that a call was forwarded to out of its next choices. */
-export function avoidInstance(exchange: Exchange, place: SentPlace): void {
-  if (place.kind === "away") exchange.avoidedInstances.add(place.member.id);
+/** Excludes the remote instance that a call was forwarded to from its next choices. */
+export function avoidInstance(
+  exchange: Exchange,
+  target: SendDestination,
+): void {
+  if (target.kind === "away") exchange.avoidedInstances.add(target.member.id);
 }
--- a/forwarding/settle_attempt_test.ts
+++ b/forwarding/settle_attempt_test.ts
@@ -4,18 +4,18 @@
 import { toBackendId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import type { Exchange } from "./exchange.ts";
 import type { AttemptOutcome } from "./run_attempt.ts";
-import { type SentPlace, settleAttempt } from "./settle_attempt.ts";
+import { type SendDestination, settleAttempt } from "./settle_attempt.ts";
 
-const HERE = { kind: "here", candidate: {} } as SentPlace;
-const AWAY = {
+const LOCAL = { kind: "here", candidate: {} } as SendDestination;
+const REMOTE = {
   kind: "away",
   member: { id: toInstanceId("south-1") },
   region: toRegionId("south"),
-} as SentPlace;
+} as SendDestination;
 
 const REJECTED: AttemptOutcome = {
   kind: "rejected",
-  isOtherServer: false,
+  isMisdirected: false,
   sends: 1,
 };
 const NO_ANSWER: AttemptOutcome = { kind: "no-answer", message: "silent" };
@@ -31,7 +31,7 @@
     tried: new Set([toBackendId("s1")]),
     attemptsLeft: 2,
     sentTo: [],
-    isOnOffer: false,
+    isHandingOver: false,
     mayHaveRun: false,
     heldAnswer: undefined,
     avoidedRegions: new Set(),
@@ -40,74 +40,77 @@
 }
 
 describe("settleAttempt()", () => {
-  describe("when a server says that it did not run the call", () => {
-    it("lets a non-idempotent call be repeated and spends one attempt", () => {
+  describe("when a server reports that it did not run the call", () => {
+    it("retries a non-idempotent call and uses one attempt", () => {
       const exchange = createExchange({});
-      assert.equal(settleAttempt(exchange, HERE, REJECTED).kind, "repeat");
+      assert.equal(settleAttempt(exchange, LOCAL, REJECTED).kind, "repeat");
       assert.equal(exchange.attemptsLeft, 1);
       assert.equal(exchange.mayHaveRun, false);
     });
 
-    it("spends no attempt where another server has the address", () => {
+    it("uses no attempt if another server has the address", () => {
       const exchange = createExchange({});
-      settleAttempt(exchange, HERE, { ...REJECTED, isOtherServer: true });
+      settleAttempt(exchange, LOCAL, { ...REJECTED, isMisdirected: true });
       assert.equal(exchange.attemptsLeft, 2);
     });
 
-    it("spends as many attempts as the other instance made, and leaves its region out", () => {
+    it("uses as many attempts as the remote instance made, and avoids its region", () => {
       const exchange = createExchange({});
-      settleAttempt(exchange, AWAY, { ...REJECTED, sends: 2 });
+      settleAttempt(exchange, REMOTE, { ...REJECTED, sends: 2 });
       assert.equal(exchange.attemptsLeft, 0);
       assert.ok(exchange.avoidedRegions.has(toRegionId("south")));
     });
   });
 
   describe("when the call may have run", () => {
-    it("ends a non-idempotent call, also one that came back over a hop", () => {
-      [HERE, AWAY].forEach((place) => {
+    it("refuses a non-idempotent call, whether it was sent to a local server or forwarded", () => {
+      [LOCAL, REMOTE].forEach((destination) => {
         const exchange = createExchange({});
-        assert.equal(settleAttempt(exchange, place, NO_ANSWER).kind, "end");
+        assert.equal(
+          settleAttempt(exchange, destination, NO_ANSWER).kind,
+          "end",
+        );
         assert.equal(exchange.mayHaveRun, true);
       });
     });
 
-    it("lets an idempotent call be repeated before its answer has begun", () => {
+    it("retries an idempotent call before its answer has begun", () => {
       const exchange = createExchange({ routeClass: "idempotent" });
-      assert.equal(settleAttempt(exchange, HERE, NO_ANSWER).kind, "repeat");
+      assert.equal(settleAttempt(exchange, LOCAL, NO_ANSWER).kind, "repeat");
     });
 
-    it("ends an idempotent call of whose answer a part is with the caller", () => {
+    it("ends an idempotent call once the caller has part of its answer", () => {
       const exchange = createExchange(
         { routeClass: "idempotent" },
         { hasBegun: true },
       );
-      assert.equal(settleAttempt(exchange, HERE, BROKEN).kind, "end");
+      assert.equal(settleAttempt(exchange, LOCAL, BROKEN).kind, "end");
     });
 
-    it("goes on with a stream only after an event with an id", () => {
+    it("resumes a stream only after an event with an id", () => {
       const route = { routeClass: "stream", isResumable: true } as const;
       const torn = createExchange(route, { hasBegun: true });
       const whole = createExchange(route, { hasBegun: true, lastEventId: "4" });
-      assert.equal(settleAttempt(torn, HERE, BROKEN).kind, "end");
-      assert.equal(settleAttempt(whole, HERE, BROKEN).kind, "repeat");
+      assert.equal(settleAttempt(torn, LOCAL, BROKEN).kind, "end");
+      assert.equal(settleAttempt(whole, LOCAL, BROKEN).kind, "repeat");
     });
 
-    it("ends a stream that may not be resumed", () => {
+    it("ends a stream that is not resumable", () => {
       const exchange = createExchange({ routeClass: "stream" });
-      assert.equal(settleAttempt(exchange, HERE, NO_ANSWER).kind, "end");
+      assert.equal(settleAttempt(exchange, LOCAL, NO_ANSWER).kind, "end");
     });
 
-    it("leaves out the instance that gave no answer", () => {
+    it("avoids the instance that gave no answer", () => {
       const exchange = createExchange({ routeClass: "idempotent" });
-      settleAttempt(exchange, AWAY, NO_ANSWER);
+      settleAttempt(exchange, REMOTE, NO_ANSWER);
       assert.ok(exchange.avoidedInstances.has(toInstanceId("south-1")));
     });
   });
 
-  describe("when nothing of the call left", () => {
-    it("chooses again without spending an attempt", () => {
+  describe("when no byte of the call was sent", () => {
+    it("chooses another destination without using an attempt", () => {
       const exchange = createExchange({});
-      const step = settleAttempt(exchange, HERE, {
+      const step = settleAttempt(exchange, LOCAL, {
         kind: "not-sent",
         message: "refused",
       });
