--- a/forwarding/choose_place.ts
+++ b/forwarding/choose_place.ts
@@ -12,7 +12,7 @@
 } from "./choose_server.ts";
 import type { Exchange } from "./exchange.ts";
 
-/** Where a call goes next. */
+/** Where a call is sent next, or why it is sent nowhere now. */
 export type Place =
   | { readonly kind: "here"; readonly candidate: Candidate }
   | {
@@ -21,34 +21,44 @@
     readonly region: RegionId;
     readonly candidate: Candidate;
   }
-  /** No server has room now, but some may get it. */
+  /** Every eligible server is at capacity now; one of them may free some. */
   | { readonly kind: "wait" }
-  /** All servers that may run the call rest, the first of them until then, on the own clock. */
+  /**
+   * All servers that may run the call are cooling down. The first cool-down ends at
+   * `untilMs`, on this instance's clock.
+   */
   | { readonly kind: "rest"; readonly untilMs: number }
-  /** Of the servers that don't rest the limits are used up, the first of them until then. */
+  /**
+   * Every server that isn't cooling down has used up its rate limit. The first of them
+   * takes calls again at `untilMs`.
+   */
   | { readonly kind: "limited"; readonly untilMs: number }
-  /** All had the call before; a new one may be taken from then on. */
+  /**
+   * The call was sent to every server before. The first server takes a new call at
+   * `untilMs`.
+   */
   | { readonly kind: "tried"; readonly untilMs: number }
   /** No server is known that may run the call. */
   | { readonly kind: "nowhere" };
 
-/** Why a call goes nowhere now. */
+/** Why a call has no destination now. */
 export type NoPlace = Exclude<Place, { readonly kind: "here" | "away" }>;
 
 /**
- * Time to another region and back before it is measured, in milliseconds: tens
- * of milliseconds each way, as the users' brief has it.
+ * Round trip to another region before it is measured, in milliseconds. The
+ * requirements assume tens of milliseconds each way.
  */
 const INITIAL_ROUND_TRIP_MS = 110;
-/** Part that a new measurement has in the running mean. */
+/** Weight of a new measurement in the moving average. */
 const ROUND_TRIP_WEIGHT = 0.1;
 /**
- * Part of the objective by which another region must be faster: a call that
- * leaves costs bytes between regions and a cold cache there.
+ * Fraction of the response-time objective by which a remote region must be faster
+ * than the local one. A call that is sent there costs traffic between regions and
+ * meets a cold cache.
  */
 const AWAY_MARGIN = 0.05;
 
-/** What places are chosen from. */
+/** What destinations are chosen from. */
 export interface PlaceChooserParts {
   readonly fleet: FleetView;
   readonly servers: Pick<ServerChooser, "choose" | "listOpen">;
@@ -56,20 +66,20 @@
   readonly listRegions: () => readonly RegionId[];
 }
 
-/** Decides between the own region and another one. */
+/** Chooses between the servers of the local region and those of remote regions. */
 export class PlaceChooser {
   readonly #parts: PlaceChooserParts;
   readonly #roundTripMs = new Map<RegionId, number>();
-  /** Prompt tokens of own calls on their way to other regions: no report counts them yet. */
+  /** Prompt tokens of own calls in transit to remote regions; no load report includes them yet. */
   readonly #tokensUnderWay = new Map<RegionId, number>();
 
-  /** @param parts What is known of instances and servers. */
+  /** @param parts Views of instances and servers. */
   constructor(parts: PlaceChooserParts) {
     this.#parts = parts;
   }
 
   /**
-   * Chooses where a call goes.
+   * Returns where a call is sent next.
    *
    * @param exchange The call.
    * @param nowMs Time now.
@@ -83,7 +93,7 @@
       ? this.#parts.servers.choose(needs, own, nowMs)
       : undefined;
     const marginMs = AWAY_MARGIN * exchange.route.targetMs;
-    // Nobody there can be cheaper than the way: looking at each server would be for nothing.
+    // The round trip alone costs more than the local server: no server there can be cheaper.
     const isTooFar = (region: RegionId) =>
       here !== undefined &&
       here.costMs <=
@@ -107,12 +117,12 @@
     return staysHere ? { kind: "here", candidate: here! } : away!;
   }
 
-  /** Returns how long the way to another region and back takes, in milliseconds. */
+  /** Returns the mean round trip to another region, in milliseconds. */
   readRoundTripMs(region: RegionId): number {
     return this.#roundTripMs.get(region) ?? INITIAL_ROUND_TRIP_MS;
   }
 
-  /** Learns how long the way to another region and back takes. */
+  /** Records a measured round trip to another region, in milliseconds. */
   recordRoundTrip(region: RegionId, roundTripMs: number): void {
     const known = this.readRoundTripMs(region);
     this.#roundTripMs.set(
@@ -121,7 +131,10 @@
     );
   }
 
-  /** Counts a call that sets out to another region, or with a negative number has arrived. */
+  /**
+   * Adds the prompt tokens of a call that is sent to another region. A negative number
+   * takes them off again when the call has arrived.
+   */
   addUnderWay(region: RegionId, tokens: number): void {
     const sum = (this.#tokensUnderWay.get(region) ?? 0) + tokens;
     this.#tokensUnderWay.set(region, Math.max(0, sum));
@@ -149,7 +162,7 @@
     return options.sort((a, b) => a.candidate.costMs - b.candidate.costMs)[0];
   }
 
-  /** Says why no server gets a call now. */
+  /** Returns why no server can take a call now. */
   #explain(
     { service, tried }: Exchange,
     regions: readonly RegionId[],
@@ -178,7 +191,10 @@
   return Math.min(...servers.map(({ restsUntilMs }) => restsUntilMs));
 }
 
-/** Regions that may serve a call: homes of both its route and its team, or all. */
+/**
+ * Returns the regions that may serve a call: the home regions of both its route and
+ * its team, where these have any, or else all.
+ */
 function listAllowed(
   { access, route }: Exchange,
   regions: readonly RegionId[],
--- a/forwarding/choose_server.ts
+++ b/forwarding/choose_server.ts
@@ -8,49 +8,53 @@
 import type { PlacedPart } from "./prefix_memory.ts";
 
 /**
- * Calls that a plain server is given for each of its slots: one works, one
- * waits there, so that the way to it costs no idle time.
+ * Calls that a plain server gets for each of its slots: one runs and one waits
+ * there, so that the slot isn't idle for a round trip between two calls.
  */
 const CALLS_PER_PLAIN_SLOT = 2;
 /**
- * Part of an engine's memory that is planned with: what a call will generate is
- * only bounded by what it asks for, and gossip is some hundred ms behind.
+ * Fraction of an engine's cache memory that calls may fill. The output of a call is
+ * known only by the upper bound that it requests, and load reports are some hundred
+ * milliseconds old.
  */
 const PLANNED_MEMORY_PART = 0.85;
 /**
- * The same for calls that hold less than one of the engine's sequences has on
- * average: long prompts that wait to be read must not shut out short calls.
+ * The same fraction for calls that hold less memory than an engine has for each of
+ * its sequences on average. Long prompts that wait for prefill must not exclude
+ * short calls.
  */
 const PLANNED_MEMORY_PART_SHORT = 0.97;
-/** Added time for a share of failures of one, in milliseconds: a failed call is lost. */
+/** Cost of a failure share of 1, in milliseconds: a call that fails is lost. */
 const FAILURE_PENALTY_MS = 3_000;
 /**
- * Advantage of the first engine by rendezvous hash for a part that none is
- * known to hold, in milliseconds: it gathers calls that begin alike.
+ * Cost advantage of the engine that ranks first by rendezvous hash of a call's first
+ * shared prompt part, in milliseconds. It gathers calls with the same prefix before
+ * any engine is known to have cached that part.
  */
 export const FIRST_RANK_BONUS_MS = 40;
 /**
- * Cost of reading a shared part again, in milliseconds a token, beside the time
- * that it takes: it holds up the prompts behind it, and evicts what others share.
+ * Cost of the prefill of a shared part that the engine has not cached, in
+ * milliseconds a token, in addition to the time that it takes. It delays the prompts
+ * behind it, and evicts parts that other calls share.
  */
 const REREAD_COST_MS_PER_TOKEN = 0.06;
 /**
- * Calls that may wait at an engine for one of its sequences, as a part of them, where it
- * holds what the call shares with others: there a sequence ends sooner than another
- * engine has read the part, which would then yield another one there.
+ * Calls that may wait for a sequence of an engine that has cached their shared parts,
+ * as a fraction of its sequences. A sequence becomes free there sooner than another
+ * engine could prefill the part, and that engine would evict another part for it.
  */
 const WAITING_PART_AT_HOLDER = 0.6;
-/** Time that a call holds one of an engine's sequences, in milliseconds: a short stream under load. */
+/** Time for which a short stream under load occupies one of an engine's sequences, in milliseconds. */
 const SEQUENCE_HELD_MS = 480;
 /**
- * Part of the objective from which an estimate counts as probably late: estimates
- * are off by what arrives in the meantime.
+ * Fraction of the response-time objective from which a call is expected to be late.
+ * An estimate doesn't include the calls that arrive in the meantime.
  */
 const SAFE_PART_OF_TARGET = 0.6;
-/** Cost of each millisecond beyond that, beside the millisecond. */
+/** Additional cost of each millisecond beyond that fraction of the objective. */
 const LATENESS_WEIGHT = 2;
 
-/** What a choice needs to know of a call. */
+/** The properties of a call that the choice of its server depends on. */
 export interface CallNeeds {
   readonly service: HttpService;
   /** Name of the route. */
@@ -60,84 +64,84 @@
   readonly maxOutputTokens: number;
   /** Response-time objective, in milliseconds. */
   readonly targetMs: number;
-  /** Shortest pause that streams of the service must keep, in milliseconds. */
+  /** Smallest target gap between events among the service's streams, in milliseconds. */
   readonly leastGapMs: number | undefined;
-  /** Servers that had the call before. */
+  /** Servers that the call was sent to before. */
   readonly tried: ReadonlySet<BackendId>;
 }
 
-/** A server that a call may go to. */
+/** A server that a call may be sent to. */
 export interface Candidate {
   readonly server: KnownServer;
   /** Estimated time to the first byte, in milliseconds. */
   readonly estimateMs: number;
-  /** What choices compare: the estimate, and what the call costs others. */
+  /** The estimate plus what the call costs others, in milliseconds: the lowest cost wins. */
   readonly costMs: number;
-  /** Tokens of the prompt that the server has to read. */
+  /** Tokens of the prompt that the server has to prefill. */
   readonly unreadTokens: number;
-  /** Running streams that would pause too long while the prompt is read. */
+  /** Running streams that would stall for too long during the prefill. */
   readonly heldUpStreams: number;
-  /** Those of them that other calls share. */
+  /** Those of the tokens to prefill that other calls share. */
   readonly unreadSharedTokens: number;
-  /** Tokens of memory that the call will hold beside what is cached. */
+  /** Tokens of memory that the call will occupy, in addition to what is cached. */
   readonly memoryTokens: number;
 }
 
 /**
- * Part of the shortest pause between events that prompts may be read without a
- * pause: an engine reads prompts between the tokens of running streams, which
- * all wait meanwhile.
+ * Fraction of the smallest target gap that a prefill may take before it counts
+ * as a stall. An engine prefills prompts between the tokens of its running streams,
+ * and all of them wait meanwhile.
  */
 const READING_PART_OF_GAP = 0.8;
-/** Cost of each stream that is held up beyond that, in milliseconds. */
+/** Cost of each stream that a longer prefill stalls, in milliseconds. */
 const HELD_UP_STREAM_COST_MS = 60;
 
-/** A server that may get calls, if it does not rest and its limit is not used up. */
+/** A server that may get calls when it isn't cooling down and its rate limit isn't used up. */
 export interface OpenServer {
   readonly id: BackendId;
-  /** Until when it wants nothing, on the own clock; 0: it never asked. */
+  /** End of its cool-down, on this instance's clock; 0 where it never asked for one. */
   readonly restsUntilMs: number;
-  /** Until when its limit is used up, on the own clock; 0: it names none. */
+  /** When its rate limit allows the next call, on this instance's clock; 0 where it advertises none. */
   readonly limitedUntilMs: number;
 }
 
 type Judged = Omit<Candidate, "costMs">;
 
-/** Optional parts of a choice. */
+/** Options for the choice of a server. */
 export interface ChooseServerOptions {
-  /** Prompt tokens on their way to the region, which no report counts yet. Default: none. */
+  /** Prompt tokens in transit to the region, which no load report includes yet. Default: none. */
   readonly extraTokens?: number;
-  /** Time to the region and back, in milliseconds. Default: none. */
+  /** Round trip to the region, in milliseconds. Default: 0. */
   readonly wayMs?: number;
 }
 
-/** What choices are made from. */
+/** What a server is chosen from. */
 export interface ServerChooserParts {
   readonly ownRegion: RegionId;
   readonly registry: ServerRegistry;
   readonly loads: LoadBoard;
   readonly learned: LearnedServers;
   readonly random: Random;
-  /** Returns how many other instances choose among the servers of the own region. */
+  /** Returns how many other instances choose among the servers of the local region. */
   readonly countOthers: () => number;
 }
 
-/** Finds the backend server that begins to answer a call first. */
+/** Chooses the backend server with the lowest cost for a call: mainly its time to the first byte. */
 export class ServerChooser {
   readonly #parts: ServerChooserParts;
 
-  /** @param parts What is known of servers. */
+  /** @param parts Registered servers, their loads, and what was learned of them. */
   constructor(parts: ServerChooserParts) {
     this.#parts = parts;
   }
 
   /**
-   * Returns the best server of a region that has room, or `undefined`.
+   * Returns the cheapest server of a region that has capacity, or `undefined`.
    *
    * @param needs The call.
-   * @param region Where.
+   * @param region Region whose servers are considered.
    * @param nowMs Time now.
-   * @param options What else weighs on the region.
+   * @param options Load in transit to the region, and the round trip to it.
    */
   choose(
     needs: CallNeeds,
@@ -155,7 +159,7 @@
       !health.isSuspended(entry.id, nowMs) &&
       !this.#isSilent(service, entry.id, nowMs)
     );
-    // With every server suspended the signs say more of the network than of them.
+    // Where every server looks failed, the network is the more likely cause.
     const considered = healthy.length > 0 ? healthy : open;
     const first = this.#findFirstRank(needs, considered);
     const extraTokens = (options.extraTokens ?? 0) /
@@ -176,7 +180,10 @@
     return this.#pickBest(candidates, service, nowMs);
   }
 
-  /** Picks the cheapest, or by chance one that is dearer by less than what others do meanwhile. */
+  /**
+   * Picks the cheapest candidate, or at random one whose cost is higher by less than
+   * the work that other instances may have sent in the meantime.
+   */
   #pickBest(
     candidates: readonly Candidate[],
     service: string,
@@ -196,7 +203,7 @@
       )?.candidate;
   }
 
-  /** Returns the servers of a service in a region that may get calls, now or after a while. */
+  /** Returns the servers of a service in a region that may get calls, now or later. */
   listOpen(
     service: string,
     region: RegionId,
@@ -211,8 +218,9 @@
   }
 
   /**
-   * Whether a server may get a call now, by what it bears from all instances together.
-   * Instances of its own region share that; the others leave it to them.
+   * Whether a server may get a call now under its warm-up rate and its advertised rate
+   * limit, which apply to all instances together. The instances of the server's region
+   * share these rates; the others send nothing to a server that has one.
    */
   #isWithinBounds(
     { coldUntilMs, entry: { id, region } }: KnownServer,
@@ -233,7 +241,7 @@
     return pulses.isSilent(server, estimateMs, nowMs);
   }
 
-  /** Returns how a server would take a call, or `undefined` where it has no room. */
+  /** Returns the estimates for a call at a server, or `undefined` where it has no capacity. */
   #judge(
     needs: CallNeeds,
     server: KnownServer,
--- a/forwarding/choose_server_test.ts
+++ b/forwarding/choose_server_test.ts
@@ -82,7 +82,7 @@
 });
 
 describe("ServerChooser", () => {
-  it("prefers the engine with fewer prompt tokens to read", () => {
+  it("prefers the engine with fewer prompt tokens to prefill", () => {
     const { choose, loads } = start(["a", "b"]);
     loads.addOwn(toBackendId("lm-a"), {
       calls: 1,
@@ -92,7 +92,7 @@
     assert.equal(choose(createNeeds()), "lm-b");
   });
 
-  it("prefers the engine that holds the shared part, though it is busier", () => {
+  it("prefers the engine that has cached the shared part, even if it is busier", () => {
     const { choose, loads, prefixes } = start(["a", "b"]);
     LONG.parts.forEach((part) =>
       prefixes.record(toBackendId("lm-a"), part, 90_000)
@@ -105,13 +105,13 @@
     assert.equal(choose(LONG), "lm-a");
   });
 
-  it("gives calls that begin alike to the same engine before any holds the part", () => {
+  it("sends calls with the same prefix to the same engine before any has cached it", () => {
     const { choose } = start(["a", "b", "c"]);
     const first = choose(LONG);
     assert.equal(choose(LONG), first);
   });
 
-  it("sends a long prompt where it holds up fewer streams", () => {
+  it("sends a long prompt to the engine where its prefill stalls fewer streams", () => {
     const { choose, loads } = start(["a", "b"]);
     const reading = { calls: 3, pendingTokens: 1_000, memoryTokens: 1_000 };
     loads.addOwn(toBackendId("lm-a"), reading);
@@ -120,7 +120,7 @@
   });
 
   describe("when an engine is full", () => {
-    it("leaves it out, by sequences", () => {
+    it("excludes it when all its sequences are taken", () => {
       const { choose, loads } = start(["a"]);
       loads.addOwn(toBackendId("lm-a"), {
         calls: 4,
@@ -130,7 +130,7 @@
       assert.equal(choose(createNeeds()), undefined);
     });
 
-    it("leaves it out, by memory", () => {
+    it("excludes it for calls that exceed the planned memory", () => {
       const { choose, loads } = start(["a"]);
       loads.addOwn(toBackendId("lm-a"), {
         calls: 1,
@@ -141,7 +141,7 @@
       assert.equal(choose(createNeeds()), "lm-a");
     });
 
-    it("still gives a short call what long prompts leave", () => {
+    it("gives a short call the memory that is reserved from long prompts", () => {
       const { choose, loads } = start(["a"]);
       loads.addOwn(toBackendId("lm-a"), {
         calls: 2,
@@ -158,7 +158,7 @@
     });
   });
 
-  describe("where all sequences of an engine are taken", () => {
+  describe("when all sequences of an engine are taken", () => {
     const take = (loads: LoadBoard, id: string, calls: number) =>
       loads.addOwn(toBackendId(id), {
         calls,
@@ -171,7 +171,7 @@
         prefixes.record(toBackendId(id), part, 90_000)
       );
 
-    it("lets a call wait that finds its shared part there, and no other", () => {
+    it("lets only a call wait whose shared part is cached there", () => {
       const { choose, loads, prefixes } = start(["a", "b"]);
       hold(prefixes, "lm-a");
       take(loads, "lm-a", 4);
@@ -179,7 +179,7 @@
       assert.equal(choose(createNeeds()), "lm-b");
     });
 
-    it("lets only some wait", () => {
+    it("bounds the number of calls that wait", () => {
       const { choose, loads, prefixes } = start(["a", "b"]);
       hold(prefixes, "lm-a");
       take(loads, "lm-a", 7);
@@ -187,7 +187,7 @@
     });
   });
 
-  it("gives a plain server no more than twice its slots", () => {
+  it("sends a plain server at most twice as many calls as it has slots", () => {
     const { choose, loads } = start(["a"]);
     const needs = createNeeds({ service: PLAIN });
     loads.addOwn(toBackendId("app-a"), {
@@ -204,7 +204,7 @@
     assert.equal(choose(needs), undefined);
   });
 
-  it("lets through to a cold engine what its gate lets through", () => {
+  it("sends a call to a cold engine only when the warm-up gate is open", () => {
     const { choose, warmUp } = start(["a"], 2_000);
     const id = toBackendId("lm-a");
     assert.equal(choose(createNeeds(), 10), id);
@@ -215,7 +215,7 @@
     assert.equal(choose(createNeeds(), 2_001), id);
   });
 
-  it("leaves out servers that had the call, that drain or that do not answer", () => {
+  it("excludes servers that had the call, that drain or that do not answer", () => {
     const { choose, health, registry } = start(["a", "b", "c"]);
     const known = registry.find(toBackendId("lm-a"))!.entry;
     registry.put({ ...known, isDraining: true }, 0);
@@ -228,11 +228,11 @@
     );
     assert.equal(choose(createNeeds()), "lm-c");
     const tried = new Set([toBackendId("lm-c")]);
-    // With no other left, a suspended server is better than none.
+    // With no other server left, a suspended one is better than none.
     assert.equal(choose(createNeeds({ tried })), "lm-b");
   });
 
-  it("leaves a server out that says nothing though it has work, until it speaks", () => {
+  it("excludes a server that is silent while it has calls, until it sends a byte", () => {
     const { choose, pulses } = start(["a", "b"]);
     const first = toBackendId(choose(LONG)!);
     const call = pulses.begin(first, 0);
--- a/forwarding/crowd_spread.ts
+++ b/forwarding/crowd_spread.ts
@@ -1,27 +1,34 @@
-/** Time in which older sends lose half of their weight, in milliseconds: a few rounds of reports. */
+/** Half-life of the weight of a send, in milliseconds: a few rounds of load reports. */
 const HALF_LIFE_MS = 1_000;
 /**
- * Age of what is known of other instances' calls, in milliseconds: their report and
- * the aggregator's, each half a round old on average and a round at most.
+ * Age of the known loads from other instances, in milliseconds. They come in the other
+ * instance's report and then in the aggregator's; each is half a reporting round old on
+ * average, and a round at most.
  */
 const PICTURE_AGE_MS = 200;
 
 interface Sends {
-  /** Sends of late, older ones counting less. */
+  /** Number of recent sends; the weight of each decays with its age. */
   weight: number;
-  /** Time that servers need for them before their first bytes, in milliseconds, weighted alike. */
+  /** Sum of the prefill times of these sends, with the same weights, in milliseconds. */
   readingMs: number;
   atMs: number;
 }
 
 /**
- * How far the costs of servers are blurred at random before they are compared.
+ * Computes the random jitter on the costs of servers, against herding.
  *
- * Many instances that see the same picture all find the same server best, and send
- * it what comes until the next report. What the others send meanwhile is not known,
- * but each sends about what this one does; a choice between servers that differ by
- * less than that is left to chance. An instance that sends often sees its own calls
- * at once and takes turns by itself: where there are few instances nothing is blurred.
+ * Many instances that see the same loads all find the same server cheapest, and send
+ * their calls there until the next report. What the other instances send meanwhile is
+ * unknown, but each sends about as much as this one. The choice between servers whose
+ * costs differ by less than that is therefore random. An instance counts its own calls
+ * at once, so that one that sends often alternates between servers by itself. Where
+ * there are few instances, there is little jitter; where there is one, none.
+ *
+ * Without jitter, in a deployment with 65 entries a region, long prompts that arrive
+ * together queue at one engine while others are idle. On a virtual clock, the busiest
+ * engine then has 2.0 times the mean load of all engines; with three instances, which
+ * count their own calls at once, it has 1.05 times the mean.
  */
 export class CrowdSpread {
   readonly #byService = new Map<string, Sends>();
@@ -29,8 +36,8 @@
   /**
    * Records a send.
    *
-   * @param service Whose server got it.
-   * @param readingMs Time that its prompt takes there.
+   * @param service Service of the server that the call was sent to.
+   * @param readingMs Time that the prefill of its prompt takes there, in milliseconds.
    * @param nowMs Time now.
    */
   record(service: string, readingMs: number, nowMs: number): void {
@@ -40,10 +47,10 @@
   }
 
   /**
-   * Returns by how much the cost of a server may be blurred, in milliseconds.
+   * Returns the maximum jitter on the cost of a server, in milliseconds.
    *
-   * @param service Its service.
-   * @param others Instances that choose from the same picture.
+   * @param service Service of the server.
+   * @param others Number of other instances that choose from the same loads.
    * @param nowMs Time now.
    */
   readMs(service: string, others: number, nowMs: number): number {
--- a/forwarding/crowd_spread_test.ts
+++ b/forwarding/crowd_spread_test.ts
@@ -1,12 +1,9 @@
-// What callers saw on a deployment with 65 entries a region: long prompts that came at
-// the same time waited behind each other at one engine while others had nothing to do.
-// The evidence, on a virtual clock: the busiest engine had 2.0 times the mean of all,
-// and 1.05 times it under load with three instances, which see their own calls at once.
+// Guards against herding: long prompts that arrived together queued at one engine while others were idle.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { CrowdSpread } from "./crowd_spread.ts";
 
-/** Records sends of 10 ms each, so many a second, over 5 s. */
+/** Records `perSecond` sends a second over 5 s, each with a prefill of 10 ms. */
 function send(perSecond: number): CrowdSpread {
   const spread = new CrowdSpread();
   const pauseMs = 1_000 / perSecond;
@@ -17,25 +14,25 @@
 }
 
 describe("CrowdSpread", () => {
-  it("blurs nothing where no other instance chooses, or nothing was sent", () => {
+  it("adds no jitter where no other instance chooses or nothing was sent", () => {
     assert.equal(send(100).readMs("lm", 0, 5_000), 0);
     assert.equal(new CrowdSpread().readMs("lm", 64, 5_000), 0);
     assert.equal(send(100).readMs("other", 64, 5_000), 0);
   });
 
-  it("counts one call of each other instance at the most: each takes turns by itself", () => {
+  it("counts at most one call of each other instance, as each alternates by itself", () => {
     const spreadMs = send(100).readMs("lm", 2, 5_000);
     assert.equal(Math.round(spreadMs), 20);
   });
 
-  it("counts what a crowd sends while the picture is old", () => {
-    // Each of 64 others sends a call every 500 ms: 0.4 of one in 200 ms.
+  it("counts what many instances send while the known loads are out of date", () => {
+    // Each of the 64 others sends a call every 500 ms, so 0.4 calls in 200 ms.
     const spreadMs = send(2).readMs("lm", 64, 5_000);
     assert.ok(spreadMs > 0.7 * 64 * 0.4 * 10, `${spreadMs}`);
     assert.ok(spreadMs < 1.3 * 64 * 0.4 * 10, `${spreadMs}`);
   });
 
-  it("forgets sends of a busier time", () => {
+  it("decays sends of a busier time", () => {
     const spread = send(2);
     assert.ok(spread.readMs("lm", 64, 20_000) < 1);
   });
--- a/forwarding/forget_others.ts
+++ b/forwarding/forget_others.ts
@@ -1,8 +1,8 @@
 /**
- * Drops what a map holds of all but some.
+ * Deletes the entries of a map whose keys are not in a set.
  *
- * @param map By whom or what.
- * @param kept Those that stay.
+ * @param map The map to change.
+ * @param kept Keys of the entries that stay.
  */
 export function forgetOthers<Key>(
   map: Map<Key, unknown>,
--- a/forwarding/learned_servers.ts
+++ b/forwarding/learned_servers.ts
@@ -10,24 +10,25 @@
 import { LimitGate, type LimitGateParts } from "./limit_gate.ts";
 import { type WarmUpBounds, WarmUpGate } from "./warm_up_gate.ts";
 
-/** Part of an engine's memory that cached parts are taken to fill, beside running calls. */
+/** Fraction of an engine's memory that cached prompt parts are assumed to fill, beside running calls. */
 const CACHED_MEMORY_PART = 0.8;
-/** Shared prompt parts that one report names at the most: it stays within one packet. */
+/** Maximum number of prompt parts in one report, so that the report fits into one packet. */
 const MAX_REPORTED_PREFIXES = 32;
 
-/** What learning needs. */
+/** What a `LearnedServers` is created from. */
 export interface LearnedServersParts {
-  /** Who shares what servers take. */
+  /** The instances that share the rates of servers. */
   readonly fleet: LimitGateParts["fleet"];
-  /** What cold servers bear. */
+  /** Call rate that cold servers may get from all instances together. */
   readonly warmUpBounds: WarmUpBounds;
   /** Returns how many tokens an engine's memory holds. Default: none. */
   readonly readMemoryTokens?: (server: BackendId) => number;
 }
 
 /**
- * What this instance has learned of backend servers: speed, health, what their
- * memory holds, and how much cold ones were given.
+ * What this instance has learned of backend servers: their speed, health, liveness and
+ * rate limits, the prompt parts that they have cached, and the calls sent to servers
+ * that are cold or limited.
  */
 export class LearnedServers {
   readonly speeds = new ServerSpeeds();
@@ -42,7 +43,7 @@
   #unsharedCount = 0;
   readonly #unreported = new PrefixQueue(MAX_REPORTED_PREFIXES);
 
-  /** @param parts What is known of members, and of engines from the configuration. */
+  /** @param parts The members of the region, and settings of cold servers and engines. */
   constructor(parts: LearnedServersParts) {
     const { fleet, readMemoryTokens, warmUpBounds: bounds } = parts;
     this.warmUp = new WarmUpGate({ fleet, bounds });
@@ -51,11 +52,11 @@
   }
 
   /**
-   * Records the prompt parts that an engine was just sent, for the choice of
-   * later calls and for the next report.
+   * Records the prompt parts that an engine was just sent, for the choice of the
+   * servers of later calls and for the next report.
    *
-   * @param server Where.
-   * @param parts What it reads or uses.
+   * @param server The engine.
+   * @param parts The prompt parts that it prefills or finds in its cache.
    */
   recordSent(server: BackendId, parts: readonly PlacedPart[]): void {
     const sent = parts.map(({ key, isShared, tokens }) => ({
@@ -67,7 +68,7 @@
     this.#unreported.add(sent);
   }
 
-  /** Takes prompt parts that engines are known to hold. */
+  /** Records prompt parts that engines are reported to have cached. */
   learnPrefixes(prefixes: readonly ReportedPrefix[]): void {
     prefixes.forEach(({ server, part, tokens }) =>
       this.#learnPart(server, {
@@ -77,7 +78,7 @@
     );
   }
 
-  /** Returns the prompt parts sent since the last call, for the next report. */
+  /** Returns the prompt parts that no report included yet, for the next one, and removes them. */
   takeUnreported(): readonly ReportedPrefix[] {
     return this.#unreported.take(MAX_REPORTED_PREFIXES);
   }
@@ -90,7 +91,7 @@
     this.prefixes.record(server, part, capacityTokens);
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes what is known of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     const { health, limitGate, limits, prefixes, pulses, speeds, warmUp } =
       this;
--- a/forwarding/limit_gate.ts
+++ b/forwarding/limit_gate.ts
@@ -4,25 +4,25 @@
 import type { ServerLimits } from "./server_limits.ts";
 import { forgetOthers } from "./forget_others.ts";
 
-/** Span in which a server that names a limit counts its calls, in milliseconds. */
+/** Window in which a server that advertises a limit counts its calls, in milliseconds. */
 const WINDOW_MS = 4_000;
-/** Factor on what the limit allows in that span that such a server bears. */
+/** Such a server tolerates up to this factor times the calls that its limit allows in the window. */
 const OVERSHOOT = 1.5;
-/** Calls that it bears beside those. */
+/** Calls that it tolerates in addition to those, in one window. */
 const SLACK_CALLS = 5;
-/** Instances that may take themselves for sharers beside those that are. */
+/** Additional instances that may consider themselves designated senders, as views of the members differ. */
 const UNKNOWN_SHARERS = 1;
 /**
- * Calls a second that a server gets at least: one that takes none would never be heard to
- * take some again.
+ * Minimum rate for a server, in calls a second. If a server whose limit is 0 got no call,
+ * no answer could tell that the limit has risen.
  */
 const LEAST_PER_SECOND = 0.1;
-/** When an instance that shares no limit looks again, in milliseconds. */
+/** When an instance that is no designated sender checks again, in milliseconds. */
 const NOT_SHARED_MS = 1_000;
 
-/** What a gate decides from. */
+/** What a `LimitGate` is created from. */
 export interface LimitGateParts {
-  /** Who shares the limits, as this instance sees it. */
+  /** The instances that share the limits, as this instance sees them. */
   readonly fleet: Pick<
     FleetView,
     "isSettled" | "listSharing" | "membershipVersion" | "self"
@@ -30,52 +30,58 @@
   readonly limits: ServerLimits;
 }
 
-/** Part of a limit that one instance uses. */
+/** The share that one instance has in a limit. */
 interface Share {
   readonly callsPerMs: number;
-  /** Calls that it may send at once after a quiet time. */
+  /** Maximum burst: calls that it may send at once after an idle time. */
   readonly mostCalls: number;
 }
 
-/** Calls that this instance may send to one server now. */
+/** Token bucket with the calls that this instance may send to one server. */
 interface Bucket {
-  /** What the share was computed for. */
+  /** The limit and the version of the members that the share was computed for. */
   readonly perSecond: number;
   readonly membershipVersion: number;
-  /** `undefined`: other instances send the calls. */
+  /** `undefined` where this instance is no designated sender. */
   readonly share: Share | undefined;
-  /** Calls that it could send at that time. */
+  /** Calls that were available at `atMs`. */
   readonly calls: number;
   readonly atMs: number;
 }
 
 /**
- * Lets calls through to servers that name a limit so that the sum over all instances
- * of the region stays inside it, however many they are. The first instances by
- * rendezvous rank share it; where a part for each would be less than a call in a span
- * that counts, they are few and the others send nothing. Who fell silent keeps its
- * share, since behind a cut it uses it.
+ * Admits calls to servers that advertise a rate limit, so that the sum over all
+ * instances of the region stays within the limit, however many instances there are.
+ *
+ * The first instances by rendezvous rank are the designated senders and share the
+ * limit. Where an equal share for each instance would be less than one call in a window,
+ * there are few of them, and the other instances send nothing. An instance that has
+ * become silent keeps its share, since it goes on using the share if it is only
+ * partitioned.
  */
 export class LimitGate {
   readonly #parts: LimitGateParts;
   readonly #buckets = new Map<BackendId, Bucket>();
 
-  /** @param parts Members and limits. */
+  /** @param parts The members of the region, and the limits of servers. */
   constructor(parts: LimitGateParts) {
     this.#parts = parts;
   }
 
   /**
-   * Whether a call may go to a server now, by its limit.
+   * Returns whether the rate limit of a server allows a call now.
    *
-   * @param server Of the own region.
+   * @param server A server of the local region.
    * @param nowMs Time now.
    */
   isOpen(server: BackendId, nowMs: number): boolean {
     return this.readOpensMs(server, nowMs) <= nowMs;
   }
 
-  /** Returns when a call may go to a server, on the own clock; 0: it names no limit. */
+  /**
+   * Returns when the limit of a server allows a call, on this instance's clock; 0 where it
+   * advertises none.
+   */
   readOpensMs(server: BackendId, nowMs: number): number {
     const bucket = this.#fill(server, nowMs);
     if (bucket === undefined) return 0;
@@ -85,7 +91,7 @@
     return calls >= 1 ? nowMs : nowMs + (1 - calls) / share.callsPerMs;
   }
 
-  /** Records a call to a server. */
+  /** Records a call that is sent to a server. */
   record(server: BackendId, nowMs: number): void {
     const bucket = this.#fill(server, nowMs);
     if (bucket === undefined) return;
@@ -93,12 +99,12 @@
     this.#buckets.set(server, { ...bucket, calls });
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the buckets of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#buckets, servers);
   }
 
-  /** Brings what may be sent to a server up to date; `undefined`: it names no limit. */
+  /** Refills the bucket of a server up to now; `undefined` where it advertises no limit. */
   #fill(server: BackendId, nowMs: number): Bucket | undefined {
     const { fleet, limits } = this.#parts;
     const perSecond = limits.read(server);
@@ -141,8 +147,9 @@
 }
 
 /**
- * Returns the part of each sharer: what its limit allows at a steady rate, and as many
- * calls at once as the server still bears with one more that takes itself for a sharer.
+ * Returns the share of each designated sender: a steady rate within the limit, and the
+ * largest burst that the server tolerates even if one more instance considers itself
+ * a designated sender.
  */
 function computeShare(perSecond: number, sharers: number): Share {
   const windowS = WINDOW_MS / 1_000;
@@ -158,7 +165,7 @@
   };
 }
 
-/** Returns how many instances share a limit: as many as use the most of it together. */
+/** Returns the number of designated senders with which most of a limit is used. */
 function countSharers(perSecond: number, members: number): number {
   const computeUsed = (sharers: number) =>
     sharers * computeShare(perSecond, sharers).callsPerMs;
--- a/forwarding/limit_gate_test.ts
+++ b/forwarding/limit_gate_test.ts
@@ -15,7 +15,7 @@
 const SERVER = toBackendId("s1");
 const WINDOW_MS = 4_000;
 
-/** A gate whose members and limit can be changed. */
+/** Creates a gate whose members and limit can be changed. */
 function createGate(
   self: InstanceId,
   known: readonly InstanceId[],
@@ -29,7 +29,7 @@
   return { gate: new LimitGate({ fleet, limits }), fleet, name };
 }
 
-/** Plays calls that arrive at instances, and returns when calls were sent. */
+/** Plays arrivals of calls at instances, and returns the times at which calls were sent. */
 function play(
   gates: readonly LimitGate[],
   arrivals: readonly { readonly atMs: number; readonly instance: number }[],
@@ -46,7 +46,7 @@
   return 1.5 * perSecond * WINDOW_MS / 1_000 + 5;
 }
 
-/** Arrivals over ten seconds, with a rush in the middle at every instance. */
+/** Creates arrivals over ten seconds, with a burst in the middle at every instance. */
 function createArrivals(instances: number, seed: number) {
   const random = createRandom(seed);
   const rush = Array.from({ length: 8 * instances }, (_, at) => ({
@@ -62,7 +62,7 @@
 
 describe("LimitGate", () => {
   describe("when 1 to 60 instances have calls for one server", () => {
-    it("keeps their sum inside what it bears, though some miss one member", () => {
+    it("keeps the sum of calls within what the server tolerates, even if some do not know one member", () => {
       const inputs = fc.record({
         perSecond: fc.double({ min: 0, max: 60, noNaN: true }),
         instances: fc.integer({ min: 1, max: 60 }),
@@ -86,7 +86,7 @@
       );
     });
 
-    it("uses three quarters of the limit and more, where calls are many", () => {
+    it("uses at least three quarters of the limit when there are enough calls", () => {
       [[1, 0.5], [1, 20], [2, 20], [3, 2.6], [3, 30], [12, 0.8], [40, 5]]
         .forEach(([instances, perSecond]) => {
           const all = Array.from(
@@ -107,7 +107,7 @@
     });
   });
 
-  it("lets a call through now and then though the server takes none, to hear of its end", () => {
+  it("admits a call now and then at a limit of 0, so that an answer can report its end", () => {
     const { gate } = createGate(toMemberName(0), [toMemberName(0)], 0);
     const arrivals = Array.from({ length: 600 }, (_, at) => ({
       atMs: 1_000 + 100 * at,
@@ -117,7 +117,7 @@
     assert.ok(sentMs.length >= 5 && sentMs.length <= 8);
   });
 
-  it("is closed until the members are known", () => {
+  it("is closed until the members of the region are known", () => {
     const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 10);
     fleet.isSettledNow = false;
     assert.equal(gate.isOpen(SERVER, 1_000), false);
@@ -125,7 +125,7 @@
     assert.equal(gate.isOpen(SERVER, 1_000), true);
   });
 
-  it("shares anew when the members change", () => {
+  it("computes the share again when the members change", () => {
     const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
     assert.equal(gate.isOpen(SERVER, 1_000), true);
     fleet.known = Array.from({ length: 200 }, (_, at) => toMemberName(at));
@@ -133,7 +133,7 @@
     assert.equal(gate.isOpen(SERVER, 1_000), false);
   });
 
-  it("does not save up calls for a limit that falls", () => {
+  it("does not carry unused calls of a high limit over to a lower one", () => {
     const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 40);
     gate.isOpen(SERVER, 0);
     name(1, 10_000);
@@ -144,7 +144,7 @@
     assert.ok(play([gate], rush).length <= countBorne(1) / 2);
   });
 
-  it("is open to a server that names no limit any more", () => {
+  it("is open for a server that no longer advertises a limit", () => {
     const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
     gate.record(SERVER, 1_000);
     assert.equal(gate.isOpen(SERVER, 1_000), false);
--- a/forwarding/mod.ts
+++ b/forwarding/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Plain HTTP calls passed on unchanged: which server gets a call, when it is
- * sent once more, and how its answer reaches the caller.
+ * Forwarding of plain HTTP calls, which are passed on unchanged: the choice of a server
+ * for each call, its retries, and the delivery of its answer to the caller.
  *
  * @example
  * ```ts
--- a/forwarding/no_room.ts
+++ b/forwarding/no_room.ts
@@ -6,12 +6,13 @@
 import { NO_ROOM_RETRY_MS } from "./settle_attempt.ts";
 
 /**
- * Whether a call that goes nowhere now need not wait: a server that rests for longer
- * than it may, whose limit is used up, or that had it, does not take it.
+ * Returns whether it is futile to let a call wait that has no destination now. No server
+ * will take the call in time where the first cool-down ends after its maximum wait, where
+ * the rate limits are used up, or where each server had the call before.
  *
- * @param place Why it goes nowhere.
+ * @param place Why the call has no destination.
  * @param nowMs Time now.
- * @param patienceMs How long it may wait, in milliseconds.
+ * @param patienceMs How long the call may still wait, in milliseconds.
  */
 export function isHopeless(
   place: NoPlace,
@@ -31,10 +32,10 @@
 }
 
 /**
- * Returns the refusal of a call that no server may get now.
+ * Returns the refusal of a call that no server can take now.
  *
- * @param service Which it is for.
- * @param place Why it goes nowhere.
+ * @param service Name of the service that the call is for.
+ * @param place Why the call has no destination.
  * @param nowMs Time now.
  */
 export function toNoRoomRefusal(
@@ -65,7 +66,7 @@
   }
 }
 
-/** What is known of servers. */
+/** What the state of servers is described from. */
 export interface KnownOfServers {
   readonly fleet: Pick<FleetView, "self">;
   readonly loads: LoadBoard;
@@ -74,11 +75,13 @@
 }
 
 /**
- * Says of each server of the own region why it has no room, for the log.
+ * Returns a description of the load, the cool-down and the rate limit of each server of the
+ * local region, for the log: it shows why the server has no capacity. Times are in
+ * milliseconds from now.
  *
- * @param service Whose servers.
+ * @param service Name of the service whose servers are described.
  * @param nowMs Time now.
- * @param known What is known of them.
+ * @param known The instance, and the servers with their loads and what was learned of them.
  */
 export function describeServers(
   service: string,
--- a/forwarding/prefix_memory.ts
+++ b/forwarding/prefix_memory.ts
@@ -4,32 +4,32 @@
 import { forgetOthers } from "./forget_others.ts";
 
 /**
- * Parts below this size are not followed, in tokens: reading them again takes a
- * few milliseconds, less than the bookkeeping is worth.
+ * Minimum size of a tracked part, in tokens. The prefill of a smaller one takes a few
+ * milliseconds, which is not worth the bookkeeping.
  */
 export const LEAST_PART_TOKENS = 256;
 
-/** What an engine says that its memory holds. */
+/** Prompt parts that an engine reports to have cached. */
 export interface HeldParts {
   readonly parts: readonly PromptPart[];
-  /** When the engine that says so started, where it says that too. */
+  /** When the engine started, where it reports that too. */
   readonly startedMs: number | undefined;
 }
 
-/** A prompt part with its place: parts are cached only behind all before them. */
+/** A prompt part with its position: a part is cached only together with all parts before it. */
 export interface PlacedPart {
-  /** Names this part and all before it. */
+  /** Identifies this part and all parts before it. */
   readonly key: string;
   readonly tokens: number;
-  /** Whether other calls may begin with it: the last part is the caller's own. */
+  /** Whether other calls may share it. The last part of a prompt is the caller's own. */
   readonly isShared: boolean;
 }
 
 /**
- * Returns the parts of a prompt that are worth following, each with a key that
+ * Returns the parts of a prompt that are large enough to be tracked, each with a key that
  * covers all parts before it.
  *
- * @param parts The prompt from its start.
+ * @param parts All parts of the prompt, in order.
  */
 export function placeParts(
   parts: readonly PromptPart[],
@@ -42,12 +42,13 @@
 }
 
 /**
- * Returns what an engine's own list says in the form of parts that were sent to
- * it. The list does not tell what stood before a part, so it holds for first
- * parts, by far the largest; they come last, so that they are the last to yield.
+ * Returns the parts that an engine reports to have cached, in the form of parts that were
+ * sent to it. The report doesn't tell which parts come before one, so it is right only for
+ * first parts, which are by far the largest. They come last, so that they are the last to
+ * be evicted.
  *
- * @param server Whose list.
- * @param held Its parts.
+ * @param server The engine.
+ * @param held The parts that it reports.
  */
 export function toHeldPrefixes(
   server: BackendId,
@@ -59,14 +60,14 @@
 }
 
 /**
- * Which prompt parts each engine probably holds, from what it was sent. The
- * least recently used parts yield, as they do in an engine.
+ * Estimates which prompt parts each engine has cached, from what it was sent. The least
+ * recently used parts are evicted first, as in an engine.
  */
 export class PrefixMemory {
   readonly #byServer = new Map<BackendId, Map<string, number>>();
   readonly #tokens = new Map<BackendId, number>();
 
-  /** Returns how many tokens of a prompt a server need not read. */
+  /** Returns how many tokens of a prompt a server has cached and needn't prefill. */
   countCached(server: BackendId, parts: readonly PlacedPart[]): number {
     const held = this.#byServer.get(server);
     if (held === undefined) return 0;
@@ -79,11 +80,11 @@
   }
 
   /**
-   * Records that a server reads or uses a part.
+   * Records that a server prefills a part or uses it from its cache.
    *
-   * @param server Where.
-   * @param part Which.
-   * @param capacityTokens What the server's memory holds.
+   * @param server The server.
+   * @param part The part.
+   * @param capacityTokens Capacity of the server's cache, in tokens.
    */
   record(
     server: BackendId,
@@ -104,7 +105,7 @@
     this.#tokens.set(server, total);
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the parts of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#byServer, servers);
     forgetOthers(this.#tokens, servers);
--- a/forwarding/prefix_memory_test.ts
+++ b/forwarding/prefix_memory_test.ts
@@ -6,7 +6,7 @@
 const SERVER = toBackendId("s1");
 
 describe("placeParts()", () => {
-  it("names a part by all parts before it, and leaves out small ones", () => {
+  it("keys a part by all parts before it, and omits small ones", () => {
     const placed = placeParts([
       { id: "a", tokens: 800 },
       { id: "b", tokens: 10 },
@@ -20,7 +20,7 @@
 });
 
 describe("PrefixMemory", () => {
-  it("counts parts only behind all parts before them", () => {
+  it("counts a part as cached only together with all parts before it", () => {
     const memory = new PrefixMemory();
     const parts = placeParts([{ id: "a", tokens: 800 }, {
       id: "b",
@@ -32,7 +32,7 @@
     assert.equal(memory.countCached(SERVER, parts), 1_300);
   });
 
-  it("forgets the part that was used least recently", () => {
+  it("evicts the least recently used part", () => {
     const memory = new PrefixMemory();
     const [a] = placeParts([{ id: "a", tokens: 600 }]);
     const [b] = placeParts([{ id: "b", tokens: 600 }]);
@@ -47,7 +47,7 @@
 });
 
 describe("toHeldPrefixes()", () => {
-  it("leaves small parts out and puts the largest last, where they yield last", () => {
+  it("omits small parts and puts the largest last, so that it is evicted last", () => {
     const engine = toBackendId("e1");
     const prefixes = toHeldPrefixes(engine, [
       { id: "large", tokens: 13_000 },
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -8,26 +8,26 @@
 } from "../quarantine/mod.ts";
 import type { Refusal } from "./refusal.ts";
 
-/** What a guard is created from. */
+/** What a `QuarantineGuard` is created from. */
 export interface QuarantineGuardParts {
   readonly logger: Logger;
-  /** Keeps a refused call where instances that start later find it. Default: it is kept nowhere. */
+  /** Stores a quarantined call where instances that start later find it. Default: it isn't stored. */
   readonly keepRefusedCall?: ((ends: ReportedEnds) => void) | undefined;
 }
 
-/** A call that is being served, and how to end that. */
+/** A call that is being served, and a function that aborts it. */
 interface UnderWay {
   readonly content: CallContent;
   readonly giveUp: () => void;
 }
 
-/** Keeps calls under which servers ended from further servers. */
+/** Keeps calls that crashed servers from being sent to more of them. */
 export class QuarantineGuard {
   readonly quarantine: CallQuarantine;
   readonly #parts: QuarantineGuardParts;
   readonly #underWay = new Set<UnderWay>();
 
-  /** @param parts Who is told of refused calls. */
+  /** @param parts Log and store for quarantined calls. */
   constructor(parts: QuarantineGuardParts) {
     this.#parts = parts;
     this.quarantine = new CallQuarantine({
@@ -36,11 +36,11 @@
   }
 
   /**
-   * Notes a call that is being served.
+   * Records a call that is being served.
    *
-   * @param content The call.
-   * @param giveUp Ends its sends.
-   * @returns To be called once it is served.
+   * @param content Content of the call.
+   * @param giveUp Aborts all sends of the call.
+   * @returns A function to call once the call has been served.
    */
   begin(content: CallContent, giveUp: () => void): () => void {
     const underWay = { content, giveUp };
@@ -49,10 +49,11 @@
   }
 
   /**
-   * Returns why a call is sent to no server, or `undefined` where it may be. Asked
-   * before each send: others may have told of the call since the last one.
+   * Returns the refusal of a call that is quarantined, or `undefined`. It has to be
+   * checked before each send, as another instance may have reported the call since the
+   * last one.
    *
-   * @param content The call.
+   * @param content Content of the call.
    * @param nowMs Time now.
    */
   findRefusal(content: CallContent, nowMs: number): Refusal | undefined {
@@ -65,7 +66,7 @@
     };
   }
 
-  /** Keeps all refused calls once more: where they were kept has lost some. */
+  /** Stores all quarantined calls again, after the store has lost some. */
   keepAgain(nowMs: number): void {
     const { heldCount } = this.quarantine;
     this.quarantine.listHeldInTurn(heldCount, nowMs)
@@ -84,7 +85,7 @@
     if (isSeenHere) keepRefusedCall?.(held);
   }
 
-  /** A copy of the call that waits at a server ends it when it begins to run there. */
+  /** Aborts all copies of a call: one that waits at a server would crash it when it begins to run. */
   #takeBack(call: CallFingerprint): void {
     [...this.#underWay].filter(({ content }) => content.fingerprint === call)
       .forEach(({ giveUp }) => giveUp());
--- a/forwarding/repeat_budget.ts
+++ b/forwarding/repeat_budget.ts
@@ -1,30 +1,31 @@
 import { SlidingCount } from "../clock/mod.ts";
 
-/** What all instances together may send beyond the first send of each call. */
+/** Bound on the retries of all instances together: the sends beyond the first one of each call. */
 export interface RepeatBounds {
-  /** Repeats for each call. */
+  /** Number of retries for each call. */
   readonly ratio: number;
-  /** Repeats beside those, in one window. */
+  /** Number of retries in addition to those, in one window. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
 /**
- * Part of the bound that is used: calls are counted over one's own window, and
- * the bound is checked over any window of the same length.
+ * Fraction of the bound that is used. Each instance counts calls over its own window,
+ * but the bound applies to any window of that length.
  */
 const USED_PART = 0.7;
 
 /**
- * The share that one instance has in the bound on repeated sends to a service.
- * Shares follow the number of live instances, so that they never add up to more.
+ * The share that one instance has in the bound on retries to a service. The share
+ * depends on the number of live instances, so that the sum of all shares never exceeds
+ * the bound.
  */
 export class RepeatBudget {
   readonly #bounds: RepeatBounds;
   readonly #calls: SlidingCount;
   readonly #repeats: SlidingCount;
 
-  /** @param bounds What all instances together may send. */
+  /** @param bounds Bound on the retries of all instances together. */
   constructor(bounds: RepeatBounds) {
     this.#bounds = bounds;
     this.#calls = new SlidingCount(bounds.windowMs);
@@ -37,10 +38,10 @@
   }
 
   /**
-   * Takes one repeat, if the share holds one.
+   * Takes one retry from the budget, and returns whether the budget allows it.
    *
    * @param nowMs Time now.
-   * @param instances Instances that share the bound.
+   * @param instances Number of instances that share the bound.
    */
   take(nowMs: number, instances: number): boolean {
     const { ratio, slack } = this.#bounds;
@@ -52,17 +53,17 @@
   }
 }
 
-/** The shares of one instance in the bounds on repeated sends, by service. */
+/** The shares of one instance in the bounds on retries, by service. */
 export class RepeatBudgets {
   readonly #byService = new Map<string, RepeatBudget>();
   #bounds: RepeatBounds;
 
-  /** @param bounds What all instances together may send to each service. */
+  /** @param bounds Bound on the retries of all instances together, for each service. */
   constructor(bounds: RepeatBounds) {
     this.#bounds = bounds;
   }
 
-  /** Takes other bounds; what was sent so far is forgotten. */
+  /** Replaces the bounds, and resets the counts of calls and retries. */
   setBounds(bounds: RepeatBounds): void {
     this.#bounds = bounds;
     this.#byService.clear();
@@ -74,11 +75,11 @@
   }
 
   /**
-   * Takes one repeat to a service, if the share holds one.
+   * Takes one retry from the budget of a service, and returns whether the budget allows it.
    *
-   * @param service Which.
+   * @param service Name of the service.
    * @param nowMs Time now.
-   * @param instances Instances that share the bound.
+   * @param instances Number of instances that share the bound.
    */
   take(service: string, nowMs: number, instances: number): boolean {
     return this.#find(service).take(nowMs, instances);
--- a/forwarding/repeat_budget_test.ts
+++ b/forwarding/repeat_budget_test.ts
@@ -6,8 +6,8 @@
 const BOUNDS = { ratio: 0.2, slack: 58, windowMs: 10_000 };
 
 describe("RepeatBudget", () => {
-  describe("when several instances take all that they may", () => {
-    it("keeps their sum inside the bound in any window", () => {
+  describe("when several instances take all retries that they can", () => {
+    it("keeps the sum of retries within the bound in any window", () => {
       const steps = fc.array(
         fc.record({
           pauseMs: fc.integer({ min: 0, max: 400 }),
@@ -35,7 +35,7 @@
         repeats.forEach((endMs) => {
           const isInside = (atMs: number) =>
             atMs <= endMs && atMs > endMs - BOUNDS.windowMs;
-          // The bound counts the calls of the window or of the one before it.
+          // The bound counts the calls of the window and of the one before it.
           const counted = calls.filter((atMs) =>
             atMs <= endMs && atMs > endMs - 2 * BOUNDS.windowMs
           ).length;
@@ -46,7 +46,7 @@
     });
   });
 
-  it("lets repeats through again when the window has passed", () => {
+  it("allows retries again when the window has passed", () => {
     const budget = new RepeatBudget({ ratio: 0, slack: 10, windowMs: 10_000 });
     const taken = Array.from({ length: 20 }, () => budget.take(1_000, 1));
     assert.equal(taken.filter((isTaken) => isTaken).length, 7);
--- a/forwarding/server_health.ts
+++ b/forwarding/server_health.ts
@@ -1,34 +1,34 @@
 import type { BackendId } from "../ids/mod.ts";
 import { forgetOthers } from "./forget_others.ts";
 
-/** Failures in a row after which a server is left out for a while. */
+/** Number of consecutive failures after which a server is suspended. */
 const FAILURES_TO_SUSPEND = 2;
-/** First pause, in milliseconds; it doubles up to the longest. */
+/** First suspension, in milliseconds. Each further one doubles, up to the maximum below. */
 const FIRST_PAUSE_MS = 500;
 const LONGEST_PAUSE_MS = 4_000;
 /**
- * Time in which the share of calls that a server turned away falls to a third, in
- * milliseconds. Room comes back within a second or two, and only a call that is sent
- * there shows it.
+ * Time in which the share of rejected calls of a server decays to a third, in milliseconds.
+ * Capacity becomes free within a second or two, and only a call that is sent there shows
+ * it.
  */
 const REJECTIONS_FADE_MS = 1_000;
-/** Part that a new outcome has in the running share of failures. */
+/** Weight of a new outcome in the moving average of failures. */
 const OUTCOME_WEIGHT = 0.08;
 /**
- * The same for the calls of one route: an instance among many sees few of them at a
- * server, and a failure there is dearer than another server.
+ * The same weight for the calls of one route. One instance of many sees few of these calls
+ * at a server, and a failure costs more than the use of another server.
  */
 const ROUTE_OUTCOME_WEIGHT = 0.3;
 /**
- * Time in which the share of a route's failures falls to a third, in milliseconds. Only
- * a call that is sent there shows that it goes well again.
+ * Time in which a route's failure share decays to a third, in milliseconds. Only a call
+ * that is sent there shows that the route works again.
  */
 const ROUTE_FAILURES_FADE_MS = 15_000;
 
-/** Share of failures below which a route's calls go well at a server. */
+/** Failure share below which a route counts as working at a server. */
 const GOOD_SHARE = 0.1;
 
-/** Running share of calls, as of then. */
+/** Moving average of a share of calls, as of `atMs`. */
 interface ShareThen {
   readonly share: number;
   readonly atMs: number;
@@ -39,25 +39,25 @@
   failuresInRow: number;
   pauseMs: number;
   suspendedUntilMs: number;
-  /** Until when it wants nothing. */
+  /** End of the cool-down that the server asked for. */
   restsUntilMs: number;
   failureShare: number;
-  /** Running share of calls that it turned away, as of then. */
+  /** Moving average of the share of calls that the server rejected, as of `rejectedMs`. */
   rejectedShare: number;
   rejectedMs: number;
 }
 
-/** How a call ended at a server, as far as it tells of the server. */
+/** Outcome of a call at a server, as far as it is evidence about the server. */
 export type ServerOutcome =
   | "answered"
-  /** The server answered with an error of its own. */
+  /** The server answered with an error of its own, such as a status of 500 or above. */
   | "error"
-  /** The server turned the call away, without running it. */
+  /** The server rejected the call without running it. */
   | "rejected"
-  /** No connection, a broken one, or bytes that are no answer. */
+  /** The connection failed or broke, or the bytes received were no valid answer. */
   | "no-answer";
 
-/** How a call of a route ended at a server. */
+/** Outcome of a call at a server, with the call's route. */
 export interface ToldOutcome {
   readonly outcome: ServerOutcome;
   /** Name of the route. */
@@ -65,20 +65,21 @@
 }
 
 /**
- * Which servers fail, from the outcomes of calls. A server that does not answer
- * twice in a row is left out for a pause that doubles; one that answers with
- * errors more often than its like is preferred less. One that asks for rest gets it,
- * whatever it answers meanwhile: it knows better than its answers show.
+ * Tracks which servers fail, from the outcomes of calls. A server that does not answer
+ * twice in a row is suspended for a time that doubles. A server that answers with errors
+ * more often than the others is preferred less. A server that asks for a cool-down gets
+ * it whatever it answers meanwhile, since it knows its state better than its answers
+ * show it.
  */
 export class ServerHealth {
   readonly #byServer = new Map<BackendId, Health>();
 
-  /** Whether a server is left out at present. */
+  /** Returns whether a server is suspended now. */
   isSuspended(server: BackendId, nowMs: number): boolean {
     return nowMs < (this.#byServer.get(server)?.suspendedUntilMs ?? 0);
   }
 
-  /** Leaves a server out until a time. */
+  /** Suspends a server until the given time. */
   suspend(server: BackendId, untilMs: number): void {
     const health = this.#byServer.get(server) ?? createHealth();
     this.#byServer.set(server, health);
@@ -86,12 +87,12 @@
   }
 
   /**
-   * Lets a server rest, as it asked.
+   * Starts or extends the cool-down that a server asked for.
    *
-   * @param server Which.
-   * @param untilMs Until when it wants nothing.
+   * @param server The server.
+   * @param untilMs End of the cool-down, on this instance's clock.
    * @param nowMs Time now.
-   * @returns Whether it did not rest before.
+   * @returns Whether the server was not cooling down before.
    */
   rest(server: BackendId, untilMs: number, nowMs: number): boolean {
     const health = this.#byServer.get(server) ?? createHealth();
@@ -101,18 +102,18 @@
     return isNews;
   }
 
-  /** Returns until when a server wants nothing, on the own clock; 0: it never asked. */
+  /** Returns the end of a server's cool-down, on this instance's clock; 0 where it never asked for one. */
   readRestsUntilMs(server: BackendId): number {
     return this.#byServer.get(server)?.restsUntilMs ?? 0;
   }
 
   /**
-   * Returns the running share of calls that failed at a server or were turned away
-   * there, from 0 to 1. Who turns calls away at once has no load: without this, it
-   * would be chosen before those that work. A server may fail the calls of one route
-   * only: they count for themselves.
+   * Returns the moving average of the share of calls that failed at a server or were
+   * rejected there, from 0 to 1. A server that rejects calls at once has no load: without
+   * this share it would be chosen before servers that work. A server may fail the calls
+   * of one route only, so each route has a share of its own.
    *
-   * @param server Which.
+   * @param server The server.
    * @param route Name of the route.
    * @param nowMs Time now.
    */
@@ -127,12 +128,12 @@
   }
 
   /**
-   * Learns from the end of a call.
+   * Records the outcome of a call.
    *
-   * @param server Where.
-   * @param told How it ended, and the name of its route.
+   * @param server Server that the call was sent to.
+   * @param told Outcome of the call, and its route.
    * @param nowMs Time now.
-   * @returns Whether the server is left out from now on.
+   * @returns Whether the server is suspended from now on.
    */
   record(
     server: BackendId,
@@ -148,9 +149,9 @@
     health.rejectedMs = nowMs;
     if (outcome === "rejected") return false;
     const failed = outcome === "answered" ? 0 : 1;
-    // What a server does not answer at all says nothing of the route.
+    // A missing answer is no evidence about the route.
     if (outcome !== "no-answer") recordAtRoute(health, route, failed, nowMs);
-    // A route that fails while others go well says nothing of the server.
+    // Errors of one route while others work are no evidence about the server.
     const isOfRoute = outcome === "error" && hasGoodRoute(health, nowMs);
     if (!isOfRoute) {
       health.failureShare += OUTCOME_WEIGHT * (failed - health.failureShare);
@@ -169,7 +170,7 @@
     return true;
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the state of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#byServer, servers);
   }
@@ -207,7 +208,7 @@
   return fadeShare(share, REJECTIONS_FADE_MS, nowMs);
 }
 
-/** Returns what is left of a share that falls to a third in a time, in milliseconds. */
+/** Returns what is left of a share that decays to a third within `fadeMs`. */
 function fadeShare(
   { atMs, share }: ShareThen,
   fadeMs: number,
--- a/forwarding/server_health_test.ts
+++ b/forwarding/server_health_test.ts
@@ -5,7 +5,7 @@
 
 const SERVER = toBackendId("s1");
 
-/** Health after these outcomes, one every 10 ms from 0 on. */
+/** Returns the health after these outcomes, one every 10 ms from time 0 on. */
 function see(...outcomes: readonly ServerOutcome[]): ServerHealth {
   const health = new ServerHealth();
   outcomes.forEach((outcome, at) =>
@@ -15,8 +15,8 @@
 }
 
 describe("ServerHealth", () => {
-  describe("when a server turns calls away", () => {
-    it("prefers it less with each, without leaving it out", () => {
+  describe("when a server rejects calls", () => {
+    it("raises its failure share with each rejection, without suspending it", () => {
       const once = see("rejected");
       const often = see("rejected", "rejected", "rejected");
       assert.ok(once.readFailureShare(SERVER, "r", 30) > 0);
@@ -27,13 +27,13 @@
       assert.ok(!often.isSuspended(SERVER, 30));
     });
 
-    it("forgets it within seconds, also if it gets no call meanwhile", () => {
+    it("decays its failure share within seconds, even if it gets no call meanwhile", () => {
       const health = see(...new Array<ServerOutcome>(50).fill("rejected"));
       assert.ok(health.readFailureShare(SERVER, "r", 500) > 0.8);
       assert.ok(health.readFailureShare(SERVER, "r", 5_000) < 0.02);
     });
 
-    it("keeps what it knows of its errors", () => {
+    it("keeps the failure share from its errors", () => {
       const errors = see("error", "error");
       const both = see("error", "error", "rejected");
       assert.ok(
@@ -43,15 +43,15 @@
     });
   });
 
-  describe("when a server asks for rest", () => {
-    it("lets it rest until then, whatever it answers", () => {
+  describe("when a server asks for a cool-down", () => {
+    it("keeps the cool-down whatever the server answers", () => {
       const health = see("answered");
       assert.ok(health.rest(SERVER, 3_000, 0));
       health.record(SERVER, { outcome: "answered", route: "r" }, 100);
       assert.equal(health.readRestsUntilMs(SERVER), 3_000);
     });
 
-    it("keeps to the longer of two rests, and says which is the first", () => {
+    it("keeps the longer of two overlapping cool-downs, and reports only the first as new", () => {
       const health = see();
       assert.ok(health.rest(SERVER, 3_000, 0));
       assert.ok(!health.rest(SERVER, 1_000, 100));
--- a/forwarding/server_limits.ts
+++ b/forwarding/server_limits.ts
@@ -3,68 +3,71 @@
 import { forgetOthers } from "./forget_others.ts";
 
 /**
- * How long the end of a limit is told and held against older words, in milliseconds:
- * as long as an instance that was cut off is still counted.
+ * How long the end of a limit is retained, in milliseconds. It is reported for that time,
+ * and takes precedence over older reports of the limit. An instance that is partitioned is
+ * counted as a member for as long.
  */
 const ENDED_KEPT_MS = 30_000;
-/** Limits that one report names at the most: it stays within one packet. */
+/** Maximum number of limits in one report, so that the report fits into one packet. */
 const MAX_REPORTED = 16;
 
-/** Who said a word of a server. */
+/** Where the known limit of a server comes from. */
 export type LimitSource =
-  /** The server itself, in an answer to this instance. */
+  /** The server advertised it in an answer to this instance. */
   | "own"
-  /** Another instance of the region, of what the server said to it. */
+  /** Another instance of the region reported what the server advertised to it. */
   | "member"
-  /** An instance that sums up for others. */
+  /** An aggregator reported it, from the reports of others. */
   | "summary";
 
-/** A limit that a server named last, or that it names no more. */
+/** The limit that a server advertised last, or the end of its limit. */
 interface HeardLimit {
-  /** Calls a second from all instances together; `undefined`: it names none any more. */
+  /** Calls a second from all instances together; `undefined` where the server's limit has ended. */
   readonly perSecond: number | undefined;
-  /** When the server said so, on the own clock. */
+  /** When the server advertised that, on this instance's clock. */
   readonly saidMs: number;
   readonly source: LimitSource;
 }
 
-/** What an answer says of its server's limit. */
+/** The limit that a server advertises in an answer. */
 export interface SaidLimit {
-  /** Calls a second from all instances together. Default: it names none. */
+  /** Calls a second from all instances together; `undefined` where the answer names no limit. */
   readonly perSecond: number | undefined;
-  /** When the call was sent, on the own clock. */
+  /** When the call was sent, on this instance's clock. */
   readonly sentMs: number;
 }
 
 /**
- * Which servers take no more than so many calls a second, as they say themselves: the
- * last word of each, whichever instance it was said to. A word is told by the instance
- * that heard it and by those that sum up, never by one that was told of it: an old word
- * that goes round would come to look new.
+ * Tracks the rate limits that servers advertise: the latest limit of each server,
+ * whichever instance received it.
+ *
+ * A limit is reported only by the instance that received it from the server and by
+ * aggregators, never by an instance that knows it from a report. Otherwise an old limit
+ * that is passed round would look new again.
  */
 export class ServerLimits {
   readonly #heard = new Map<BackendId, HeardLimit>();
   #turn = 0;
 
-  /** Number of servers that name a limit. */
+  /** Number of servers that advertise a limit. */
   get count(): number {
     return [...this.#heard.values()]
       .filter(({ perSecond }) => perSecond !== undefined).length;
   }
 
-  /** Returns the calls a second that a server takes, or `undefined` where it names no limit. */
+  /** Returns the limit of a server in calls a second, or `undefined` where it advertises none. */
   read(server: BackendId): number | undefined {
     return this.#heard.get(server)?.perSecond;
   }
 
   /**
-   * Takes what a server says in an answer to a call that it ran, or a limit that it
-   * names as it turns one away.
+   * Records what a server advertises in an answer to a call that it ran, or a limit that
+   * it names when it rejects a call.
    *
-   * @param server Which.
-   * @param said Its words.
+   * @param server The server.
+   * @param said What it advertises.
    * @param nowMs Time now.
-   * @returns Whether that is news.
+   * @returns Whether the limit has changed.
    */
   hear(
     server: BackendId,
@@ -74,7 +77,7 @@
     const before = this.#heard.get(server);
     if (perSecond === undefined) {
       if (before?.perSecond === undefined) return false;
-      // An answer that was on its way as the limit was named says nothing of its end.
+      // An answer to a call sent before the limit was advertised is no evidence of its end.
       if (sentMs < before.saidMs) return false;
     }
     this.#heard.set(server, { perSecond, saidMs: nowMs, source: "own" });
@@ -82,12 +85,13 @@
   }
 
   /**
-   * Takes what another instance tells.
+   * Records the limits in a report of another instance, where they are later than the
+   * known ones.
    *
-   * @param limits Its rows.
-   * @param source What it tells of.
+   * @param limits Rows of the report.
+   * @param source Kind of the report.
    * @param nowMs Time now.
-   * @returns Those that are news.
+   * @returns The rows that changed a limit.
    */
   learn(
     limits: readonly ReportedLimit[],
@@ -107,9 +111,11 @@
   }
 
   /**
-   * Returns what a report tells: some of it in turn, where there is much.
+   * Returns the limits for the next report. Where there are more than fit into one
+   * report, successive reports take them in rotation.
    *
-   * @param scope What was said to this instance, or to any of its region.
+   * @param scope Whether to include only limits that this instance received from servers,
+   * or those that any instance of its region received.
    * @param nowMs Time now.
    */
   listReported(
@@ -134,7 +140,7 @@
       .slice(0, MAX_REPORTED);
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the limits of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#heard, servers);
   }
--- a/forwarding/server_limits_test.ts
+++ b/forwarding/server_limits_test.ts
@@ -7,7 +7,7 @@
 
 describe("ServerLimits", () => {
   describe("hear()", () => {
-    it("says what is news", () => {
+    it("returns whether the limit has changed", () => {
       const limits = new ServerLimits();
       const hear = (perSecond: number | undefined, atMs: number) =>
         limits.hear(SERVER, { perSecond, sentMs: atMs }, atMs);
@@ -19,7 +19,7 @@
       assert.equal(hear(undefined, 6), false);
     });
 
-    it("does not end a limit by an answer to a call that was sent before it", () => {
+    it("does not end a limit by an answer to a call that was sent before the limit was advertised", () => {
       const limits = new ServerLimits();
       limits.hear(SERVER, { perSecond: 2, sentMs: 10 }, 20);
       limits.hear(SERVER, { perSecond: undefined, sentMs: 15 }, 25);
@@ -36,7 +36,7 @@
       ageMs,
     });
 
-    it("takes the last word of the server, whoever heard it", () => {
+    it("keeps the latest limit of the server, whichever instance received it", () => {
       const limits = new ServerLimits();
       limits.hear(SERVER, { perSecond: 2, sentMs: 100 }, 100);
       assert.deepEqual(limits.learn([toRow(9, 50)], "member", 140), []);
@@ -50,7 +50,7 @@
   });
 
   describe("listReported()", () => {
-    it("tells the region what was said to this instance, and others what was said to the region", () => {
+    it("lists what this instance received for its region, and what the region received for others", () => {
       const limits = new ServerLimits();
       limits.hear(SERVER, { perSecond: 2, sentMs: 100 }, 100);
       const row = { perSecond: 3, ageMs: 0 };
@@ -63,7 +63,7 @@
       assert.deepEqual(list("region"), [SERVER, near]);
     });
 
-    it("gets round to all where there are many", () => {
+    it("lists all limits in rotation when there are many", () => {
       const limits = new ServerLimits();
       const all = Array.from({ length: 40 }, (_, at) => toBackendId(`s${at}`));
       all.forEach((server) =>
--- a/forwarding/server_pulses.ts
+++ b/forwarding/server_pulses.ts
@@ -2,55 +2,57 @@
 import { forgetOthers } from "./forget_others.ts";
 
 /**
- * Silence of a server that streams answers, in milliseconds, after which new
- * calls go elsewhere. An engine makes a token for each running sequence a step,
- * and reads prompts in chunks of some ten milliseconds between the steps: an
- * event of any stream is due several times in this time.
+ * Silence of a server that streams answers, in milliseconds, after which new calls are
+ * sent elsewhere. In each step an engine generates a token for every running sequence,
+ * and between steps it prefills prompts in chunks of some ten milliseconds: an event of
+ * any stream is due several times within this time.
  */
 const STREAMING_SILENCE_MS = 500;
 /**
- * Silence of a server that streams answers, in milliseconds, after which streams
- * that may be resumed go on elsewhere. Twice the time above: a stream that is
- * resumed is late already, and its prompt is read once more.
+ * Silence of a server that streams answers, in milliseconds, after which resumable streams
+ * are resumed elsewhere. It is twice the time above, since a stream that is resumed is late
+ * already, and its prompt is prefilled again.
  */
 const GONE_SILENCE_MS = 1_000;
 /**
- * Silence of a server that has begun no answer, in estimates of its next first
- * byte, and at least the time above. The same as calls are waited for.
+ * Silence of a server that has begun no answer, after which new calls are sent elsewhere,
+ * as a multiple of the estimated time to its next first byte; it is at least
+ * `STREAMING_SILENCE_MS`. A send to a server times out after the same multiple.
  */
 const SILENCE_ESTIMATES = 4;
 
 interface Pulse {
   heardMs: number;
-  /** When each call in flight was sent, the longest waiting first. */
+  /** When each call in flight was sent, the oldest first. */
   readonly sentMs: Set<{ readonly atMs: number }>;
-  /** Calls in flight whose answers have begun. */
+  /** Number of calls in flight whose answers have begun. */
   begun: number;
 }
 
 /** A call in flight at a server. */
 export interface PulseCall {
-  /** Records bytes of the answer. */
+  /** Records that bytes of the answer were received. */
   readonly hear: (nowMs: number) => void;
-  /** Ends the call. */
+  /** Records that the call has ended. */
   readonly end: () => void;
 }
 
 /**
- * Which servers say nothing on any connection though they have work. A server
- * that lost its power or its network sends no reset, its entry lapses after three
- * heartbeats, and a call that must not be repeated can't be given up: without
- * this, whatever is sent there until then is lost.
+ * Tracks which servers are silent on all connections although they have calls in flight.
  *
- * Nothing is decided for good: a single byte makes the server usable again.
+ * A server that has lost its power or its network sends no reset, its entry lapses only
+ * after three heartbeats, and a call that must not be retried can't be given up. Without
+ * this, every call that is sent there until then is lost.
+ *
+ * A server is never given up for good: a single byte from it makes it usable again.
  */
 export class ServerPulses {
   readonly #byServer = new Map<BackendId, Pulse>();
 
   /**
-   * Records a call that is sent.
+   * Records a call that is sent to a server.
    *
-   * @param server Where.
+   * @param server The server.
    * @param nowMs Time now.
    */
   begin(server: BackendId, nowMs: number): PulseCall {
@@ -73,10 +75,10 @@
   }
 
   /**
-   * Whether a server has been silent for so long that it is probably gone.
+   * Returns whether a server has been silent for so long that it is probably dead.
    *
-   * @param server Which.
-   * @param estimateMs What it is estimated to take to the next first byte.
+   * @param server The server.
+   * @param estimateMs Estimated time to its next first byte, in milliseconds.
    * @param nowMs Time now.
    */
   isSilent(server: BackendId, estimateMs: number, nowMs: number): boolean {
@@ -86,7 +88,10 @@
     return this.#readSilenceMs(server, nowMs) > limitMs;
   }
 
-  /** Whether a server that streams answers has been silent for so long that they go on elsewhere. */
+  /**
+   * Returns whether a server that streams answers has been silent for so long that its
+   * streams are to be resumed elsewhere.
+   */
   isGone(server: BackendId, nowMs: number): boolean {
     return this.#isStreaming(server) &&
       this.#readSilenceMs(server, nowMs) > GONE_SILENCE_MS;
@@ -96,7 +101,7 @@
     return (this.#byServer.get(server)?.begun ?? 0) > 0;
   }
 
-  /** How long a server with work has said nothing, in milliseconds; 0 without work. */
+  /** Returns how long a server with calls in flight has been silent, in milliseconds; 0 without calls. */
   #readSilenceMs(server: BackendId, nowMs: number): number {
     const pulse = this.#byServer.get(server);
     const [oldest] = pulse?.sentMs ?? [];
@@ -104,7 +109,7 @@
     return nowMs - Math.max(pulse.heardMs, oldest.atMs);
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the state of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#byServer, servers);
   }
--- a/forwarding/server_pulses_test.ts
+++ b/forwarding/server_pulses_test.ts
@@ -4,12 +4,12 @@
 import { ServerPulses } from "./server_pulses.ts";
 
 const SERVER = toBackendId("s1");
-/** What a server takes to its first byte, in milliseconds. */
+/** Estimated time of a server to its first byte, in milliseconds. */
 const ESTIMATE_MS = 200;
 
 describe("ServerPulses", () => {
   describe("when a server streams answers", () => {
-    it("takes it as silent once no stream has said anything for a while", () => {
+    it("considers it silent once no stream has sent a byte for a while", () => {
       const pulses = new ServerPulses();
       const calls = [0, 10].map((nowMs) => pulses.begin(SERVER, nowMs));
       calls.forEach((call) => call.hear(100));
@@ -19,7 +19,7 @@
       assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 701), false);
     });
 
-    it("waits for the first byte of the rest once these have ended", () => {
+    it("waits for the first byte of the other calls once the streams have ended", () => {
       const pulses = new ServerPulses();
       const begun = pulses.begin(SERVER, 0);
       begun.hear(100);
@@ -31,7 +31,7 @@
     });
   });
 
-  it("takes a server that streams as gone after a longer silence", () => {
+  it("considers a server that streams dead after a longer silence", () => {
     const pulses = new ServerPulses();
     const call = pulses.begin(SERVER, 0);
     assert.equal(pulses.isGone(SERVER, 5_000), false);
@@ -40,7 +40,7 @@
     assert.equal(pulses.isGone(SERVER, 6_001), true);
   });
 
-  it("takes a server without work as none that is silent", () => {
+  it("does not consider a server silent that has no calls", () => {
     const pulses = new ServerPulses();
     assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 90_000), false);
     pulses.begin(SERVER, 0).end();
--- a/forwarding/server_speed.ts
+++ b/forwarding/server_speed.ts
@@ -1,15 +1,15 @@
 import type { BackendId } from "../ids/mod.ts";
 import { forgetOthers } from "./forget_others.ts";
 
-/** Part that a new sample has in the running mean: about the last ten count. */
+/** Weight of a new sample in the moving average: about the last ten samples count. */
 const SAMPLE_WEIGHT = 0.1;
-/** Prompts from this size on tell the speed of reading, in tokens. */
+/** Minimum size of a prompt whose time is a sample of the prefill speed, in tokens. */
 const TELLING_TOKENS = 2_000;
-/** Speed of reading before any is measured, in tokens a millisecond: a mid-range engine. */
+/** Prefill speed before any sample, in tokens a millisecond: that of a mid-range engine. */
 const INITIAL_TOKENS_PER_MS = 40;
-/** Time to the first byte beside the reading before any is measured, in milliseconds. */
+/** Time to the first byte without the prefill, before any sample, in milliseconds. */
 const INITIAL_BASE_MS = 40;
-/** Bounds that keep one odd sample from turning the estimate over. */
+/** Bounds on the speed of a sample, in tokens a millisecond: an outlier must not distort the estimate. */
 const SPEED_BOUNDS_PER_MS = { least: 2, most: 2_000 };
 
 interface Speed {
@@ -17,17 +17,17 @@
   tokensPerMs: number;
 }
 
-/** How fast servers are, learned from the times of their answers. */
+/** Estimates how fast servers are, from the times to the first bytes of their answers. */
 export class ServerSpeeds {
   readonly #byServer = new Map<BackendId, Speed>();
   readonly #byService = new Map<string, Speed>();
 
   /**
-   * Returns the time that a server takes to its first byte.
+   * Returns the estimated time of a server to its first byte, in milliseconds.
    *
-   * @param server Which.
-   * @param service Its service, whose mean stands in for a new server.
-   * @param tokens Prompt tokens that it reads before.
+   * @param server The server.
+   * @param service Its service, whose mean is used for a server without samples.
+   * @param tokens Prompt tokens that the server prefills before that byte.
    */
   estimateMs(server: BackendId, service: string, tokens: number): number {
     const speed = this.#byServer.get(server) ?? this.#readService(service);
@@ -35,11 +35,12 @@
   }
 
   /**
-   * Learns from one answer.
+   * Updates the estimates from one answer.
    *
-   * @param server Who answered.
+   * @param server Server that answered.
    * @param service Its service.
-   * @param sample Tokens that were read before the first byte, and its time.
+   * @param sample Tokens that were prefilled before the first byte, and the time to that
+   * byte in milliseconds.
    */
   record(
     server: BackendId,
@@ -55,7 +56,7 @@
     this.#byService.set(service, mean);
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the estimates of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#byServer, servers);
   }
@@ -81,7 +82,7 @@
   const readingMs = Math.max(1, firstByteMs - speed.baseMs);
   const { least, most } = SPEED_BOUNDS_PER_MS;
   const measured = Math.min(most, Math.max(least, tokens / readingMs));
-  // The mean of times per token, not of speeds: estimates are times.
+  // Averages the time per token, not the speed, since the estimates are times.
   const perToken = 1 / speed.tokensPerMs;
   speed.tokensPerMs = 1 /
     (perToken + SAMPLE_WEIGHT * (1 / measured - perToken));
--- a/forwarding/turn_gate.ts
+++ b/forwarding/turn_gate.ts
@@ -1,35 +1,40 @@
 import type { Clock } from "../clock/mod.ts";
 
 /**
- * Calls that begin to be handled in one turn of the event loop: as many as
- * connections are accepted, so that new ones keep pace with open ones. A call costs 1
- * to 3 ms of a small processor.
+ * Calls that begin to be handled in one iteration of the event loop. It equals the number
+ * of connections accepted in one, so that calls over new connections keep pace with those
+ * over open ones. A call costs 1 to 3 ms on a small processor.
  */
 const CALLS_PER_TURN = 1;
 /**
- * Longest wait that a call is let in for, in milliseconds: about a quarter of the
- * shortest objectives, so that whoever is refused can still be served elsewhere in
- * time.
+ * Maximum estimated wait at which a call is admitted, in milliseconds. It is about a
+ * quarter of the shortest response-time objectives, so that a call that is refused can
+ * still be served elsewhere in time.
  */
 const LONGEST_WAIT_MS = 100;
-/** Weight of the last turn in the mean time of a turn: the last ten or so count. */
+/** Weight of the last iteration in the moving average of their durations: about the last ten count. */
 const LAST_TURN_WEIGHT = 0.1;
-/** Longest time that one turn counts with, in milliseconds: a pause of the process says nothing of the next turns. */
+/**
+ * Maximum duration with which one iteration counts, in milliseconds. A pause of the process
+ * is no evidence about the next iterations.
+ */
 const LONGEST_TURN_MS = 50;
 
 /**
- * Spreads the handling of calls over turns of the event loop. The runtime accepts
- * one connection a turn: where a turn handles whatever has arrived, it takes 125 ms
- * with 250 busy connections, and new ones wait for seconds until their callers have
- * gone (measured on an instance at its limit: 4 turns and 4 accepted connections in
- * 0.5 s). Calls that wait here have been read, and their time counts.
+ * Spreads the handling of calls over iterations of the event loop.
+ *
+ * The runtime accepts one connection in each iteration. Where an iteration handles every
+ * call that has arrived, it takes 125 ms with 250 busy connections, and new connections
+ * wait for seconds, until their callers have given up: an instance at its limit has 4
+ * iterations and accepts 4 connections in 0.5 s. A call that waits here has been read
+ * already, and the wait counts towards its time.
  *
- * Where they would wait for too long, further ones are not let in: the processor goes
- * to calls that can still be served in time. Under 1.2 to 2.5 times the load that it
- * can forward, 99 in 100 calls over open connections are answered in under a third of an
- * objective of 0.8 s, and over new ones in under a second;
- * without the gate, new connections wait for as long as the load lasts (the load in
- * `daemon/overload_test.ts`).
+ * Where a call would wait for too long, it isn't admitted, so that the processor serves
+ * calls that can still be answered in time. Under 1.2 to 2.5 times the load that an
+ * instance can forward, 99 in 100 calls over open connections are answered in under a
+ * third of an objective of 0.8 s, and calls over new connections in under a second.
+ * Without the gate, new connections wait for as long as the load lasts.
+ * `daemon/overload_test.ts` plays this load.
  */
 export class TurnGate {
   readonly #clock: Clock;
@@ -38,20 +43,22 @@
   #turnMs = 1;
   #turnedMs = 0;
 
-  /** @param clock Source of time; a timer of 0 ms is due in the next turn. */
+  /** @param clock Source of time; a timer of 0 ms is due in the next iteration of the event loop. */
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Estimated wait of a call that comes now, in milliseconds. */
+  /** Estimated wait of a call that arrives now, in milliseconds. */
   get waitMs(): number {
     return this.#waiting.length * this.#turnMs / CALLS_PER_TURN;
   }
 
   /**
-   * Waits until a call may begin: in this turn, or in a later one, in order.
+   * Waits until a call may begin: in this iteration of the event loop or in a later one,
+   * in the order of arrival.
    *
-   * @returns Whether it may; `false`, at once, where it would wait for too long.
+   * @returns Whether the call is admitted; resolves to `false` at once where it would wait
+   * for too long.
    */
   async enter(): Promise<boolean> {
     if (this.waitMs > LONGEST_WAIT_MS) return false;
--- a/forwarding/turn_gate_test.ts
+++ b/forwarding/turn_gate_test.ts
@@ -19,14 +19,14 @@
 }
 
 describe("TurnGate", () => {
-  it("lets the first call of a turn through at once", async () => {
+  it("admits the first call of an iteration at once", async () => {
     const { begun, enter } = start();
     enter(1);
     await setImmediate();
     assert.deepEqual(begun, [1]);
   });
 
-  it("begins the others in later turns, in order", async () => {
+  it("begins further calls in later iterations, in order", async () => {
     const { begun, enter, gate, takeTurn } = start();
     [1, 2, 3].forEach(enter);
     await takeTurn();
@@ -39,13 +39,13 @@
     assert.equal(gate.waitMs, 0);
   });
 
-  it("lets no more in where they would wait for too long", async () => {
+  it("refuses a call that would wait for too long", async () => {
     const { gate, enter } = start();
     Array.from({ length: 103 }, (_, call) => enter(call));
     assert.equal(await gate.enter(), false);
   });
 
-  it("counts with what turns have taken lately", async () => {
+  it("estimates the wait from the durations of recent iterations", async () => {
     const { gate, enter, loop, takeTurn } = start();
     Array.from({ length: 60 }, (_, call) => enter(call));
     for (let turn = 0; turn < 30; turn++) {
@@ -56,7 +56,7 @@
     assert.equal(await gate.enter(), false);
   });
 
-  it("is open again after a turn in which nothing waited", async () => {
+  it("admits a call at once after an iteration in which none waited", async () => {
     const { begun, enter, takeTurn } = start();
     enter(1);
     await takeTurn();
--- a/forwarding/waiting_line.ts
+++ b/forwarding/waiting_line.ts
@@ -6,7 +6,7 @@
   readonly wake: () => void;
 }
 
-/** Calls that wait for room, the most urgent and then the longest waiting first. */
+/** Queue of calls that wait for capacity, ordered by urgency and then by waiting time. */
 export class WaitingLine {
   readonly #clock: Clock;
   #places: readonly Place[] = [];
@@ -17,22 +17,22 @@
     this.#clock = clock;
   }
 
-  /** Calls that wait. */
+  /** Number of calls that wait. */
   get length(): number {
     return this.#places.length;
   }
 
-  /** Returns a number that keeps a call's place over several waits. */
+  /** Returns a number that keeps a call's position in the queue over several waits. */
   takeOrder(): number {
     return ++this.#order;
   }
 
   /**
-   * Waits until woken, at the longest for a time.
+   * Waits until woken, but no longer than a maximum time.
    *
-   * @param place Rank of the call, 0 the most urgent, and its order.
-   * @param longestMs Longest wait, in milliseconds.
-   * @param signal Ends the wait.
+   * @param place Rank of the call, where 0 is the most urgent, and its number.
+   * @param longestMs Maximum wait, in milliseconds.
+   * @param signal Ends the wait when aborted.
    */
   async wait(
     place: { readonly rank: number; readonly order: number },
@@ -49,7 +49,7 @@
     this.#places = this.#places.filter((each) => each !== mine);
   }
 
-  /** Wakes the first calls of the line, which look for room again. */
+  /** Wakes the first calls of the queue, so that they look for capacity again. */
   wakeFirst(count: number): void {
     this.#places.slice(0, count).forEach(({ wake }) => wake());
   }
--- a/forwarding/warm_up_gate.ts
+++ b/forwarding/warm_up_gate.ts
@@ -3,29 +3,30 @@
 import { rankNames } from "../membership/mod.ts";
 import { forgetOthers } from "./forget_others.ts";
 
-/** What a cold server bears in any second, from all instances together. */
+/** Number of calls that a cold server tolerates in any second, from all instances together. */
 export interface WarmUpBounds {
-  /** Factor on the calls a second that its service declares. */
+  /** Factor on the warm-up rate that its service declares, in calls a second. */
   readonly overshoot: number;
-  /** Calls beside those. */
+  /** Calls in addition to those. */
   readonly slack: number;
 }
 
 /**
- * Part of the declared rate that is used. The rest of the bound is for sharers
- * whose calls fall into the same instant, and for views that differ.
+ * Fraction of the declared rate that is used. The rest of the bound allows for
+ * designated senders that send at the same moment, and for differing views of the
+ * members.
  */
 const USED_PART = 0.8;
 /**
- * Instances that may take themselves for sharers beside those that are: one
- * joins or is forgotten while the others do not know yet. Rendezvous ranks make
- * one change of the members change one sharer at the most.
+ * Additional instances that may consider themselves designated senders: one may have
+ * joined or been removed while others don't know of it yet. With rendezvous ranks, one
+ * change of the members changes at most one designated sender.
  */
 const UNKNOWN_SHARERS = 1;
 
-/** What a gate decides from. */
+/** What a `WarmUpGate` is created from. */
 export interface WarmUpGateParts {
-  /** Who shares the bound, as this instance sees it. */
+  /** The instances that share the bound, as this instance sees them. */
   readonly fleet: Pick<
     FleetView,
     "isSettled" | "listSharing" | "membershipVersion" | "self"
@@ -35,34 +36,34 @@
 
 interface Share {
   readonly membershipVersion: number;
-  /** Time between own calls, in milliseconds; `undefined`: others send them. */
+  /** Interval between own calls, in milliseconds; `undefined` where this instance is no designated sender. */
   readonly pauseMs: number | undefined;
 }
 
 /**
- * Lets calls through to cold servers so that the sum over all instances stays
- * inside the bound, however many they are.
+ * Admits calls to cold servers, so that the sum over all instances stays within the
+ * bound, however many instances there are.
  *
- * A part of the bound for each instance would fall below one call a second in a
- * large region. So a cold server has a few sharers, the first instances of its
- * region by rendezvous rank; each spaces its calls evenly, and the others send it
- * nothing. What that guards against, in the load that the test plays: 20
- * instances with an equal part each send 20 calls in a second where 6.6 are borne.
+ * In a large region an equal share for each instance would be less than one call a
+ * second. A cold server therefore has a few designated senders, the first instances of
+ * its region by rendezvous rank. Each of them spaces its calls evenly, and the other
+ * instances send nothing. Without this, in the load that the test plays, 20 instances
+ * with equal shares send 20 calls in a second where the server tolerates 6.6.
  */
 export class WarmUpGate {
   readonly #parts: WarmUpGateParts;
   readonly #shares = new Map<BackendId, Share>();
   readonly #nextMs = new Map<BackendId, number>();
 
-  /** @param parts Members and bounds. */
+  /** @param parts The members of the region, and the bound for cold servers. */
   constructor(parts: WarmUpGateParts) {
     this.#parts = parts;
   }
 
   /**
-   * Whether a call may go to a cold server now.
+   * Returns whether a call may be sent to a cold server now.
    *
-   * @param server Which.
+   * @param server The server.
    * @param callsPerSecond Rate that its service declares.
    * @param nowMs Time now.
    */
@@ -73,9 +74,9 @@
   }
 
   /**
-   * Records a call to a cold server.
+   * Records a call that is sent to a cold server.
    *
-   * @param server Which.
+   * @param server The server.
    * @param callsPerSecond Rate that its service declares.
    * @param nowMs Time now.
    */
@@ -84,7 +85,7 @@
     this.#nextMs.set(server, nowMs + (pauseMs ?? 0));
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the state of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#shares, servers);
     forgetOthers(this.#nextMs, servers);
@@ -125,9 +126,9 @@
 }
 
 /**
- * Returns how many instances may share a cold server: the most whose evenly
- * spaced calls stay inside the bound, with one more that takes itself for one.
- * Any second holds the share of each and one call more.
+ * Returns the maximum number of designated senders whose evenly spaced calls stay within
+ * the bound, even if one more instance considers itself one. In any second, each sends
+ * at most its share and one call more.
  */
 function countSharers(
   callsPerSecond: number,
--- a/forwarding/warm_up_gate_test.ts
+++ b/forwarding/warm_up_gate_test.ts
@@ -14,13 +14,13 @@
 const SERVER = toBackendId("s1");
 const BOUNDS = { overshoot: 1.5, slack: 3 };
 
-/** A gate whose members can be changed. */
+/** Creates a gate whose members can be changed. */
 function createGate(self: InstanceId, known: readonly InstanceId[]) {
   const fleet = createSharing(self, known);
   return { gate: new WarmUpGate({ fleet, bounds: BOUNDS }), fleet };
 }
 
-/** Plays calls that arrive at instances, and returns when calls were sent. */
+/** Plays arrivals of calls at instances, and returns the times at which calls were sent. */
 function play(
   gates: readonly WarmUpGate[],
   arrivals: readonly { readonly atMs: number; readonly instance: number }[],
@@ -41,7 +41,7 @@
   seed: fc.integer(),
 });
 
-/** Arrivals over three seconds, with a rush at the start at every instance. */
+/** Creates arrivals over three seconds, with a burst at the start at every instance. */
 function createArrivals(instances: number, seed: number) {
   const random = createRandom(seed);
   const rush = Array.from({ length: instances }, (_, instance) => ({
@@ -57,7 +57,7 @@
 
 describe("WarmUpGate", () => {
   describe("when 1 to 200 instances have calls for one cold server", () => {
-    it("keeps their sum inside the bound, though some miss one member", () => {
+    it("keeps the sum of calls within the bound, even if some do not know one member", () => {
       fc.assert(
         fc.property(INPUTS, ({ callsPerSecond, instances, unknown, seed }) => {
           const all = Array.from(
@@ -80,7 +80,7 @@
       );
     });
 
-    it("lets two thirds of the declared rate through, where calls are many", () => {
+    it("admits at least two thirds of the declared rate when there are enough calls", () => {
       [[1, 2.4], [3, 9.7], [20, 2.4], [20, 5.4], [60, 8]].forEach(
         ([instances, callsPerSecond]) => {
           const all = Array.from(
@@ -99,7 +99,7 @@
     });
   });
 
-  it("is closed until the members are known", () => {
+  it("is closed until the members of the region are known", () => {
     const { gate, fleet } = createGate(toMemberName(0), [toMemberName(0)]);
     fleet.isSettledNow = false;
     assert.equal(gate.isOpen(SERVER, 10, 1_000), false);
@@ -107,7 +107,7 @@
     assert.equal(gate.isOpen(SERVER, 10, 1_000), true);
   });
 
-  it("shares anew when the members change", () => {
+  it("computes the share again when the members change", () => {
     const { gate, fleet } = createGate(toMemberName(0), [toMemberName(0)]);
     assert.equal(gate.isOpen(SERVER, 2.4, 1_000), true);
     fleet.known = Array.from({ length: 200 }, (_, at) => toMemberName(at));
