--- a/forwarding/choose_place.ts
+++ b/forwarding/choose_place.ts
@@ -6,8 +6,8 @@
 import {
   type CallNeeds,
   type Candidate,
+  type EligibleServer,
   FIRST_RANK_BONUS_MS,
-  type OpenServer,
   type ServerChooser,
 } from "./choose_server.ts";
 import type { Exchange } from "./exchange.ts";
@@ -27,19 +27,19 @@
    * All servers that may run the call are cooling down. The first cool-down ends at
    * `untilMs`, on this instance's clock.
    */
-  | { readonly kind: "rest"; readonly untilMs: number }
+  | { readonly kind: "cooling-down"; readonly untilMs: number }
   /**
    * Every server that isn't cooling down has used up its rate limit. The first of them
    * takes calls again at `untilMs`.
    */
-  | { readonly kind: "limited"; readonly untilMs: number }
+  | { readonly kind: "rate-limited"; readonly untilMs: number }
   /**
    * The call was sent to every server before. The first server takes a new call at
    * `untilMs`.
    */
   | { readonly kind: "tried"; readonly untilMs: number }
   /** No server is known that may run the call. */
-  | { readonly kind: "nowhere" };
+  | { readonly kind: "no-server" };
 
 /** Why a call has no destination now. */
 export type NoPlace = Exclude<Place, { readonly kind: "here" | "away" }>;
@@ -56,25 +56,25 @@
  * than the local one. A call that is sent there costs traffic between regions and
  * meets a cold cache.
  */
-const AWAY_MARGIN = 0.05;
+const REMOTE_MARGIN_FRACTION = 0.05;
 
 /** What destinations are chosen from. */
-export interface PlaceChooserParts {
+export interface DestinationChooserParts {
   readonly fleet: FleetView;
-  readonly servers: Pick<ServerChooser, "choose" | "listOpen">;
+  readonly servers: Pick<ServerChooser, "choose" | "listEligible">;
   readonly random: Random;
   readonly listRegions: () => readonly RegionId[];
 }
 
 /** Chooses between the servers of the local region and those of remote regions. */
 export class PlaceChooser {
-  readonly #parts: PlaceChooserParts;
+  readonly #parts: DestinationChooserParts;
   readonly #roundTripMs = new Map<RegionId, number>();
   /** Prompt tokens of own calls in transit to remote regions; no load report includes them yet. */
-  readonly #tokensUnderWay = new Map<RegionId, number>();
+  readonly #tokensInTransit = new Map<RegionId, number>();
 
   /** @param parts Views of instances and servers. */
-  constructor(parts: PlaceChooserParts) {
+  constructor(parts: DestinationChooserParts) {
     this.#parts = parts;
   }
 
@@ -88,15 +88,15 @@
     const own = this.#parts.fleet.self.region;
     const needs = toNeeds(exchange);
     const isForwarded = exchange.call.origin.kind === "instance";
-    const allowed = listAllowed(exchange, this.#parts.listRegions());
-    const here = allowed.includes(own)
+    const allowed = listAllowedRegions(exchange, this.#parts.listRegions());
+    const local = allowed.includes(own)
       ? this.#parts.servers.choose(needs, own, nowMs)
       : undefined;
-    const marginMs = AWAY_MARGIN * exchange.route.targetMs;
+    const marginMs = REMOTE_MARGIN_FRACTION * exchange.route.targetMs;
     // The round trip alone costs more than the local server: no server there can be cheaper.
     const isTooFar = (region: RegionId) =>
-      here !== undefined &&
-      here.costMs <=
+      local !== undefined &&
+      local.costMs <=
         this.readRoundTripMs(region) - FIRST_RANK_BONUS_MS + marginMs;
     const others = isForwarded
       ? []
@@ -104,17 +104,17 @@
         region !== own && !exchange.avoidedRegions.has(region) &&
         !isTooFar(region)
       );
-    const away = this.#chooseAway(exchange, needs, others, nowMs);
-    if (here === undefined && away === undefined) {
+    const remote = this.#chooseRemote(exchange, needs, others, nowMs);
+    if (local === undefined && remote === undefined) {
       const reachable = isForwarded
         ? allowed.filter((region) => region === own)
         : allowed;
       return this.#explain(exchange, reachable, nowMs);
     }
-    const staysHere = here !== undefined &&
-      (away === undefined ||
-        here.costMs <= away.candidate.costMs + marginMs);
-    return staysHere ? { kind: "here", candidate: here! } : away!;
+    const staysLocal = local !== undefined &&
+      (remote === undefined ||
+        local.costMs <= remote.candidate.costMs + marginMs);
+    return staysLocal ? { kind: "here", candidate: local! } : remote!;
   }
 
   /** Returns the mean round trip to another region, in milliseconds. */
@@ -136,11 +136,11 @@
    * takes them off again when the call has arrived.
    */
   addUnderWay(region: RegionId, tokens: number): void {
-    const sum = (this.#tokensUnderWay.get(region) ?? 0) + tokens;
-    this.#tokensUnderWay.set(region, Math.max(0, sum));
+    const sum = (this.#tokensInTransit.get(region) ?? 0) + tokens;
+    this.#tokensInTransit.set(region, Math.max(0, sum));
   }
 
-  #chooseAway(
+  #chooseRemote(
     exchange: Exchange,
     needs: CallNeeds,
     regions: readonly RegionId[],
@@ -149,8 +149,8 @@
     const { fleet, random, servers } = this.#parts;
     const options = regions.flatMap((region) => {
       const candidate = servers.choose(needs, region, nowMs, {
-        extraTokens: this.#tokensUnderWay.get(region) ?? 0,
-        wayMs: this.readRoundTripMs(region),
+        extraTokens: this.#tokensInTransit.get(region) ?? 0,
+        roundTripMs: this.readRoundTripMs(region),
       });
       if (candidate === undefined) return [];
       const members = fleet.listFresh(region, nowMs)
@@ -168,34 +168,38 @@
     regions: readonly RegionId[],
     nowMs: number,
   ): NoPlace {
-    const open = regions.flatMap((region) =>
-      this.#parts.servers.listOpen(service.name, region, nowMs)
+    const eligible = regions.flatMap((region) =>
+      this.#parts.servers.listEligible(service.name, region, nowMs)
     );
-    const untried = open.filter(({ id }) => !tried.has(id));
-    if (open.length === 0) return { kind: "nowhere" };
+    const untried = eligible.filter(({ id }) => !tried.has(id));
+    if (eligible.length === 0) return { kind: "no-server" };
     if (untried.length === 0) {
-      return { kind: "tried", untilMs: findFirstRestEndMs(open) };
+      return { kind: "tried", untilMs: findFirstCooldownEndMs(eligible) };
     }
-    const rested = untried.filter(({ restsUntilMs }) => restsUntilMs <= nowMs);
-    if (rested.length === 0) {
-      return { kind: "rest", untilMs: findFirstRestEndMs(untried) };
+    const ready = untried.filter(({ cooldownUntilMs }) =>
+      cooldownUntilMs <= nowMs
+    );
+    if (ready.length === 0) {
+      return { kind: "cooling-down", untilMs: findFirstCooldownEndMs(untried) };
     }
     const untilMs = Math.min(
-      ...rested.map(({ limitedUntilMs }) => limitedUntilMs),
+      ...ready.map(({ limitedUntilMs }) => limitedUntilMs),
     );
-    return untilMs > nowMs ? { kind: "limited", untilMs } : { kind: "wait" };
+    return untilMs > nowMs
+      ? { kind: "rate-limited", untilMs }
+      : { kind: "wait" };
   }
 }
 
-function findFirstRestEndMs(servers: readonly OpenServer[]): number {
-  return Math.min(...servers.map(({ restsUntilMs }) => restsUntilMs));
+function findFirstCooldownEndMs(servers: readonly EligibleServer[]): number {
+  return Math.min(...servers.map(({ cooldownUntilMs }) => cooldownUntilMs));
 }
 
 /**
  * Returns the regions that may serve a call: the home regions of both its route and
  * its team, where these have any, or else all.
  */
-function listAllowed(
+function listAllowedRegions(
   { access, route }: Exchange,
   regions: readonly RegionId[],
 ): readonly RegionId[] {
@@ -205,7 +209,8 @@
 }
 
 function toNeeds(exchange: Exchange): CallNeeds {
-  const { facts, leastGapMs, parts, route, service, tried } = exchange;
+  const { facts, leastGapMs: maxTokenGapMs, parts, route, service, tried } =
+    exchange;
   return {
     service,
     route: route.name,
@@ -213,7 +218,7 @@
     promptTokens: facts.prompt?.promptTokens ?? 0,
     maxOutputTokens: facts.prompt?.maxOutputTokens ?? 0,
     targetMs: route.targetMs,
-    leastGapMs,
+    maxTokenGapMs,
     tried,
   };
 }
--- a/forwarding/choose_server.ts
+++ b/forwarding/choose_server.ts
@@ -17,13 +17,13 @@
  * known only by the upper bound that it requests, and load reports are some hundred
  * milliseconds old.
  */
-const PLANNED_MEMORY_PART = 0.85;
+const PLANNED_MEMORY_FRACTION = 0.85;
 /**
  * The same fraction for calls that hold less memory than an engine has for each of
  * its sequences on average. Long prompts that wait for prefill must not exclude
  * short calls.
  */
-const PLANNED_MEMORY_PART_SHORT = 0.97;
+const PLANNED_MEMORY_FRACTION_SHORT_CALLS = 0.97;
 /** Cost of a failure share of 1, in milliseconds: a call that fails is lost. */
 const FAILURE_PENALTY_MS = 3_000;
 /**
@@ -37,7 +37,7 @@
  * milliseconds a token, in addition to the time that it takes. It delays the prompts
  * behind it, and evicts parts that other calls share.
  */
-const REREAD_COST_MS_PER_TOKEN = 0.06;
+const SHARED_PREFILL_COST_MS_PER_TOKEN = 0.06;
 /**
  * Calls that may wait for a sequence of an engine that has cached their shared parts,
  * as a fraction of its sequences. A sequence becomes free there sooner than another
@@ -45,12 +45,12 @@
  */
 const WAITING_PART_AT_HOLDER = 0.6;
 /** Time for which a short stream under load occupies one of an engine's sequences, in milliseconds. */
-const SEQUENCE_HELD_MS = 480;
+const SEQUENCE_DURATION_MS = 480;
 /**
  * Fraction of the response-time objective from which a call is expected to be late.
  * An estimate doesn't include the calls that arrive in the meantime.
  */
-const SAFE_PART_OF_TARGET = 0.6;
+const SAFE_FRACTION_OF_TARGET = 0.6;
 /** Additional cost of each millisecond beyond that fraction of the objective. */
 const LATENESS_WEIGHT = 2;
 
@@ -65,7 +65,7 @@
   /** Response-time objective, in milliseconds. */
   readonly targetMs: number;
   /** Smallest target gap between events among the service's streams, in milliseconds. */
-  readonly leastGapMs: number | undefined;
+  readonly maxTokenGapMs: number | undefined;
   /** Servers that the call was sent to before. */
   readonly tried: ReadonlySet<BackendId>;
 }
@@ -80,9 +80,9 @@
   /** Tokens of the prompt that the server has to prefill. */
   readonly unreadTokens: number;
   /** Running streams that would stall for too long during the prefill. */
-  readonly heldUpStreams: number;
+  readonly stalledStreams: number;
   /** Those of the tokens to prefill that other calls share. */
-  readonly unreadSharedTokens: number;
+  readonly sharedPrefillTokens: number;
   /** Tokens of memory that the call will occupy, in addition to what is cached. */
   readonly memoryTokens: number;
 }
@@ -92,27 +92,27 @@
  * as a stall. An engine prefills prompts between the tokens of its running streams,
  * and all of them wait meanwhile.
  */
-const READING_PART_OF_GAP = 0.8;
+const PREFILL_FRACTION_OF_GAP = 0.8;
 /** Cost of each stream that a longer prefill stalls, in milliseconds. */
-const HELD_UP_STREAM_COST_MS = 60;
+const STALLED_STREAM_COST_MS = 60;
 
 /** A server that may get calls when it isn't cooling down and its rate limit isn't used up. */
-export interface OpenServer {
+export interface EligibleServer {
   readonly id: BackendId;
   /** End of its cool-down, on this instance's clock; 0 where it never asked for one. */
-  readonly restsUntilMs: number;
+  readonly cooldownUntilMs: number;
   /** When its rate limit allows the next call, on this instance's clock; 0 where it advertises none. */
   readonly limitedUntilMs: number;
 }
 
-type Judged = Omit<Candidate, "costMs">;
+type Evaluation = Omit<Candidate, "costMs">;
 
 /** Options for the choice of a server. */
 export interface ChooseServerOptions {
   /** Prompt tokens in transit to the region, which no load report includes yet. Default: none. */
   readonly extraTokens?: number;
   /** Round trip to the region, in milliseconds. Default: 0. */
-  readonly wayMs?: number;
+  readonly roundTripMs?: number;
 }
 
 /** What a server is chosen from. */
@@ -152,15 +152,16 @@
     const { registry, learned: { health } } = this.#parts;
     const service = needs.service.name;
     const servers = registry.listUsable(service, region);
-    const open = servers.filter(({ entry }) =>
-      !needs.tried.has(entry.id) && health.readRestsUntilMs(entry.id) <= nowMs
+    const available = servers.filter(({ entry }) =>
+      !needs.tried.has(entry.id) &&
+      health.readCooldownUntilMs(entry.id) <= nowMs
     );
-    const healthy = open.filter(({ entry }) =>
+    const healthy = available.filter(({ entry }) =>
       !health.isSuspended(entry.id, nowMs) &&
       !this.#isSilent(service, entry.id, nowMs)
     );
     // Where every server looks failed, the network is the more likely cause.
-    const considered = healthy.length > 0 ? healthy : open;
+    const considered = healthy.length > 0 ? healthy : available;
     const first = this.#findFirstRank(needs, considered);
     const extraTokens = (options.extraTokens ?? 0) /
       Math.max(1, considered.length);
@@ -169,13 +170,13 @@
     );
     const meanFailures = computeMean(failureShares);
     const candidates = considered.flatMap((server, at) => {
-      const judged = this.#judge(needs, server, nowMs, extraTokens);
-      if (judged === undefined) return [];
+      const evaluation = this.#evaluate(needs, server, nowMs, extraTokens);
+      if (evaluation === undefined) return [];
       const bonusMs = server.entry.id === first ? FIRST_RANK_BONUS_MS : 0;
       const failures = failureShares[at]! - meanFailures;
-      const costMs = computeCost(judged, needs, options.wayMs ?? 0) -
+      const costMs = computeCost(evaluation, needs, options.roundTripMs ?? 0) -
         bonusMs + FAILURE_PENALTY_MS * Math.max(0, failures);
-      return [{ ...judged, costMs }];
+      return [{ ...evaluation, costMs }];
     });
     return this.#pickBest(candidates, service, nowMs);
   }
@@ -190,30 +191,34 @@
     nowMs: number,
   ): Candidate | undefined {
     const { countOthers, learned, random } = this.#parts;
-    const spreadMs = learned.crowd.readMs(service, countOthers(), nowMs);
+    const maxJitterMs = learned.crowd.computeMaxMs(
+      service,
+      countOthers(),
+      nowMs,
+    );
     return candidates
       .map((candidate) => ({
         candidate,
-        blurredMs: candidate.costMs + spreadMs * random.nextFloat(),
+        jitteredMs: candidate.costMs + maxJitterMs * random.nextFloat(),
       }))
-      .reduce<{ candidate: Candidate; blurredMs: number } | undefined>(
+      .reduce<{ candidate: Candidate; jitteredMs: number } | undefined>(
         (best, each) =>
-          best === undefined || each.blurredMs < best.blurredMs ? each : best,
+          best === undefined || each.jitteredMs < best.jitteredMs ? each : best,
         undefined,
       )?.candidate;
   }
 
   /** Returns the servers of a service in a region that may get calls, now or later. */
-  listOpen(
+  listEligible(
     service: string,
     region: RegionId,
     nowMs: number,
-  ): readonly OpenServer[] {
+  ): readonly EligibleServer[] {
     const { learned: { health, limitGate }, registry } = this.#parts;
     return registry.listUsable(service, region).map(({ entry: { id } }) => ({
       id,
-      restsUntilMs: health.readRestsUntilMs(id),
-      limitedUntilMs: limitGate.readOpensMs(id, nowMs),
+      cooldownUntilMs: health.readCooldownUntilMs(id),
+      limitedUntilMs: limitGate.readOpensAtMs(id, nowMs),
     }));
   }
 
@@ -242,21 +247,21 @@
   }
 
   /** Returns the estimates for a call at a server, or `undefined` where it has no capacity. */
-  #judge(
+  #evaluate(
     needs: CallNeeds,
     server: KnownServer,
     nowMs: number,
     extraTokens: number,
-  ): Judged | undefined {
+  ): Evaluation | undefined {
     const { entry } = server;
     const { service } = needs;
     const { loads, learned: { prefixes, speeds } } = this.#parts;
     if (!this.#isWithinBounds(server, service, nowMs)) return undefined;
     const load = loads.readTotal(entry.id);
-    const cached = prefixes.countCached(entry.id, needs.parts);
+    const cached = prefixes.countCachedTokens(entry.id, needs.parts);
     const unreadTokens = Math.max(1, needs.promptTokens - cached);
     const memoryTokens = unreadTokens + needs.maxOutputTokens;
-    const unreadSharedTokens = countShared(needs.parts) - cached;
+    const uncachedSharedTokens = countShared(needs.parts) - cached;
     if (service.engine === undefined) {
       if (load.calls >= entry.slots * CALLS_PER_PLAIN_SLOT) return undefined;
       const waiting = Math.max(0, load.calls + 1 - entry.slots);
@@ -266,41 +271,41 @@
         server,
         estimateMs,
         unreadTokens,
-        unreadSharedTokens: 0,
-        heldUpStreams: 0,
+        sharedPrefillTokens: 0,
+        stalledStreams: 0,
         memoryTokens,
       };
     }
     const { cacheTokens, maxSequences } = service.engine;
     const isEmpty = load.calls === 0;
     const isShort = memoryTokens < cacheTokens / maxSequences;
-    const plannedPart = isShort
-      ? PLANNED_MEMORY_PART_SHORT
-      : PLANNED_MEMORY_PART;
-    const estimateReadingMs = (tokens: number) =>
+    const plannedFraction = isShort
+      ? PLANNED_MEMORY_FRACTION_SHORT_CALLS
+      : PLANNED_MEMORY_FRACTION;
+    const estimatePrefillMs = (tokens: number) =>
       speeds.estimateMs(entry.id, service.name, tokens);
     const waitMs = Math.max(0, load.calls + 1 - maxSequences) *
-      SEQUENCE_HELD_MS / maxSequences;
-    const savedMs = unreadSharedTokens > 0
+      SEQUENCE_DURATION_MS / maxSequences;
+    const savedMs = uncachedSharedTokens > 0
       ? 0
-      : estimateReadingMs(cached) - estimateReadingMs(0) +
-        REREAD_COST_MS_PER_TOKEN * cached;
-    const mostCalls = waitMs < savedMs
+      : estimatePrefillMs(cached) - estimatePrefillMs(0) +
+        SHARED_PREFILL_COST_MS_PER_TOKEN * cached;
+    const maxCalls = waitMs < savedMs
       ? maxSequences * (1 + WAITING_PART_AT_HOLDER)
       : maxSequences;
-    const isFull = load.calls >= mostCalls ||
-      load.memoryTokens + memoryTokens > plannedPart * cacheTokens;
+    const isFull = load.calls >= maxCalls ||
+      load.memoryTokens + memoryTokens > plannedFraction * cacheTokens;
     if (isFull && !isEmpty) return undefined;
     const estimateMs = waitMs +
-      estimateReadingMs(load.pendingTokens + extraTokens + unreadTokens);
-    const leastGapMs = needs.leastGapMs ?? Number.POSITIVE_INFINITY;
-    const readingMs = estimateMs - waitMs - estimateReadingMs(0);
+      estimatePrefillMs(load.pendingTokens + extraTokens + unreadTokens);
+    const maxTokenGapMs = needs.maxTokenGapMs ?? Number.POSITIVE_INFINITY;
+    const prefillMs = estimateMs - waitMs - estimatePrefillMs(0);
     return {
       server,
       estimateMs,
       unreadTokens,
-      unreadSharedTokens: Math.max(0, unreadSharedTokens),
-      heldUpStreams: readingMs > READING_PART_OF_GAP * leastGapMs
+      sharedPrefillTokens: Math.max(0, uncachedSharedTokens),
+      stalledStreams: prefillMs > PREFILL_FRACTION_OF_GAP * maxTokenGapMs
         ? load.calls
         : 0,
       memoryTokens,
@@ -334,10 +339,17 @@
     .reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-function computeCost(judged: Judged, needs: CallNeeds, wayMs: number): number {
-  const totalMs = judged.estimateMs + wayMs;
-  const lateMs = Math.max(0, totalMs - SAFE_PART_OF_TARGET * needs.targetMs);
+function computeCost(
+  evaluation: Evaluation,
+  needs: CallNeeds,
+  roundTripMs: number,
+): number {
+  const totalMs = evaluation.estimateMs + roundTripMs;
+  const lateMs = Math.max(
+    0,
+    totalMs - SAFE_FRACTION_OF_TARGET * needs.targetMs,
+  );
   return totalMs + LATENESS_WEIGHT * lateMs +
-    REREAD_COST_MS_PER_TOKEN * judged.unreadSharedTokens +
-    HELD_UP_STREAM_COST_MS * judged.heldUpStreams;
+    SHARED_PREFILL_COST_MS_PER_TOKEN * evaluation.sharedPrefillTokens +
+    STALLED_STREAM_COST_MS * evaluation.stalledStreams;
 }
--- a/forwarding/choose_server_test.ts
+++ b/forwarding/choose_server_test.ts
@@ -7,7 +7,7 @@
 import { ServerRegistry } from "../servers/mod.ts";
 import { type CallNeeds, ServerChooser } from "./choose_server.ts";
 import { LearnedServers } from "./learned_servers.ts";
-import { placeParts, type PrefixMemory } from "./prefix_memory.ts";
+import { placeParts, type PrefixCacheModel } from "./prefix_memory.ts";
 import {
   createFleet,
   createMember,
@@ -67,7 +67,7 @@
     promptTokens: 400,
     maxOutputTokens: 100,
     targetMs: 1_000,
-    leastGapMs: 400,
+    maxTokenGapMs: 400,
     tried: new Set(),
     ...more,
   };
@@ -166,7 +166,7 @@
         memoryTokens: 0,
       });
 
-    const hold = (prefixes: PrefixMemory, id: string) =>
+    const hold = (prefixes: PrefixCacheModel, id: string) =>
       LONG.parts.forEach((part) =>
         prefixes.record(toBackendId(id), part, 90_000)
       );
--- a/forwarding/crowd_spread.ts
+++ b/forwarding/crowd_spread.ts
@@ -5,13 +5,13 @@
  * instance's report and then in the aggregator's; each is half a reporting round old on
  * average, and a round at most.
  */
-const PICTURE_AGE_MS = 200;
+const LOAD_REPORT_AGE_MS = 200;
 
 interface Sends {
   /** Number of recent sends; the weight of each decays with its age. */
   weight: number;
   /** Sum of the prefill times of these sends, with the same weights, in milliseconds. */
-  readingMs: number;
+  prefillMs: number;
   atMs: number;
 }
 
@@ -30,20 +30,20 @@
  * engine then has 2.0 times the mean load of all engines; with three instances, which
  * count their own calls at once, it has 1.05 times the mean.
  */
-export class CrowdSpread {
+export class CostJitter {
   readonly #byService = new Map<string, Sends>();
 
   /**
    * Records a send.
    *
    * @param service Service of the server that the call was sent to.
-   * @param readingMs Time that the prefill of its prompt takes there, in milliseconds.
+   * @param prefillMs Time that the prefill of its prompt takes there, in milliseconds.
    * @param nowMs Time now.
    */
-  record(service: string, readingMs: number, nowMs: number): void {
+  record(service: string, prefillMs: number, nowMs: number): void {
     const sends = this.#decay(service, nowMs);
     sends.weight += 1;
-    sends.readingMs += readingMs;
+    sends.prefillMs += prefillMs;
   }
 
   /**
@@ -53,21 +53,21 @@
    * @param others Number of other instances that choose from the same loads.
    * @param nowMs Time now.
    */
-  readMs(service: string, others: number, nowMs: number): number {
+  computeMaxMs(service: string, others: number, nowMs: number): number {
     const sends = this.#decay(service, nowMs);
     if (sends.weight === 0) return 0;
-    const perMs = sends.weight * Math.LN2 / HALF_LIFE_MS;
-    const meanMs = sends.readingMs / sends.weight;
-    return others * Math.min(1, perMs * PICTURE_AGE_MS) * meanMs;
+    const sendsPerMs = sends.weight * Math.LN2 / HALF_LIFE_MS;
+    const meanMs = sends.prefillMs / sends.weight;
+    return others * Math.min(1, sendsPerMs * LOAD_REPORT_AGE_MS) * meanMs;
   }
 
   #decay(service: string, nowMs: number): Sends {
     const sends = this.#byService.get(service) ??
-      { weight: 0, readingMs: 0, atMs: nowMs };
+      { weight: 0, prefillMs: 0, atMs: nowMs };
     this.#byService.set(service, sends);
     const kept = 2 ** (-(nowMs - sends.atMs) / HALF_LIFE_MS);
     sends.weight *= kept;
-    sends.readingMs *= kept;
+    sends.prefillMs *= kept;
     sends.atMs = nowMs;
     return sends;
   }
--- a/forwarding/learned_servers.ts
+++ b/forwarding/learned_servers.ts
@@ -1,17 +1,17 @@
 import { PrefixQueue, type ReportedPrefix } from "../fleet/mod.ts";
 import type { BackendId } from "../ids/mod.ts";
-import { CrowdSpread } from "./crowd_spread.ts";
+import { CostJitter } from "./crowd_spread.ts";
 import type { PlacedPart } from "./prefix_memory.ts";
-import { PrefixMemory } from "./prefix_memory.ts";
+import { PrefixCacheModel } from "./prefix_memory.ts";
 import { ServerHealth } from "./server_health.ts";
 import { ServerLimits } from "./server_limits.ts";
-import { ServerPulses } from "./server_pulses.ts";
+import { ServerLiveness } from "./server_pulses.ts";
 import { ServerSpeeds } from "./server_speed.ts";
 import { LimitGate, type LimitGateParts } from "./limit_gate.ts";
 import { type WarmUpBounds, WarmUpGate } from "./warm_up_gate.ts";
 
 /** Fraction of an engine's memory that cached prompt parts are assumed to fill, beside running calls. */
-const CACHED_MEMORY_PART = 0.8;
+const CACHED_MEMORY_FRACTION = 0.8;
 /** Maximum number of prompt parts in one report, so that the report fits into one packet. */
 const MAX_REPORTED_PREFIXES = 32;
 
@@ -33,10 +33,10 @@
 export class LearnedServers {
   readonly speeds = new ServerSpeeds();
   readonly health = new ServerHealth();
-  readonly pulses = new ServerPulses();
+  readonly pulses = new ServerLiveness();
   readonly limits = new ServerLimits();
-  readonly prefixes = new PrefixMemory();
-  readonly crowd = new CrowdSpread();
+  readonly prefixes = new PrefixCacheModel();
+  readonly crowd = new CostJitter();
   readonly warmUp: WarmUpGate;
   readonly limitGate: LimitGate;
   readonly #readMemoryTokens: (server: BackendId) => number;
@@ -87,7 +87,8 @@
     server: BackendId,
     part: Pick<PlacedPart, "key" | "tokens">,
   ): void {
-    const capacityTokens = CACHED_MEMORY_PART * this.#readMemoryTokens(server);
+    const capacityTokens = CACHED_MEMORY_FRACTION *
+      this.#readMemoryTokens(server);
     this.prefixes.record(server, part, capacityTokens);
   }
 
--- a/forwarding/limit_gate.ts
+++ b/forwarding/limit_gate.ts
@@ -7,18 +7,18 @@
 /** Window in which a server that advertises a limit counts its calls, in milliseconds. */
 const WINDOW_MS = 4_000;
 /** Such a server tolerates up to this factor times the calls that its limit allows in the window. */
-const OVERSHOOT = 1.5;
+const TOLERATED_OVERSHOOT = 1.5;
 /** Calls that it tolerates in addition to those, in one window. */
 const SLACK_CALLS = 5;
 /** Additional instances that may consider themselves designated senders, as views of the members differ. */
-const UNKNOWN_SHARERS = 1;
+const UNKNOWN_SENDERS = 1;
 /**
  * Minimum rate for a server, in calls a second. If a server whose limit is 0 got no call,
  * no answer could tell that the limit has risen.
  */
-const LEAST_PER_SECOND = 0.1;
+const MIN_CALLS_PER_SECOND = 0.1;
 /** When an instance that is no designated sender checks again, in milliseconds. */
-const NOT_SHARED_MS = 1_000;
+const RECHECK_MS = 1_000;
 
 /** What a `LimitGate` is created from. */
 export interface LimitGateParts {
@@ -34,7 +34,7 @@
 interface Share {
   readonly callsPerMs: number;
   /** Maximum burst: calls that it may send at once after an idle time. */
-  readonly mostCalls: number;
+  readonly maxBurst: number;
 }
 
 /** Token bucket with the calls that this instance may send to one server. */
@@ -75,25 +75,25 @@
    * @param nowMs Time now.
    */
   isOpen(server: BackendId, nowMs: number): boolean {
-    return this.readOpensMs(server, nowMs) <= nowMs;
+    return this.readOpensAtMs(server, nowMs) <= nowMs;
   }
 
   /**
    * Returns when the limit of a server allows a call, on this instance's clock; 0 where it
    * advertises none.
    */
-  readOpensMs(server: BackendId, nowMs: number): number {
-    const bucket = this.#fill(server, nowMs);
+  readOpensAtMs(server: BackendId, nowMs: number): number {
+    const bucket = this.#refill(server, nowMs);
     if (bucket === undefined) return 0;
     const { calls, share } = bucket;
     const isSettled = this.#parts.fleet.isSettled(nowMs);
-    if (share === undefined || !isSettled) return nowMs + NOT_SHARED_MS;
+    if (share === undefined || !isSettled) return nowMs + RECHECK_MS;
     return calls >= 1 ? nowMs : nowMs + (1 - calls) / share.callsPerMs;
   }
 
   /** Records a call that is sent to a server. */
   record(server: BackendId, nowMs: number): void {
-    const bucket = this.#fill(server, nowMs);
+    const bucket = this.#refill(server, nowMs);
     if (bucket === undefined) return;
     const calls = Math.max(0, bucket.calls - 1);
     this.#buckets.set(server, { ...bucket, calls });
@@ -105,7 +105,7 @@
   }
 
   /** Refills the bucket of a server up to now; `undefined` where it advertises no limit. */
-  #fill(server: BackendId, nowMs: number): Bucket | undefined {
+  #refill(server: BackendId, nowMs: number): Bucket | undefined {
     const { fleet, limits } = this.#parts;
     const perSecond = limits.read(server);
     if (perSecond === undefined) {
@@ -121,7 +121,7 @@
       : this.#computeShare(server, perSecond);
     const before = known ?? { calls: 1, atMs: nowMs };
     const gained = (share?.callsPerMs ?? 0) * (nowMs - before.atMs);
-    const calls = Math.min(share?.mostCalls ?? 1, before.calls + gained);
+    const calls = Math.min(share?.maxBurst ?? 1, before.calls + gained);
     const bucket = { perSecond, membershipVersion, share, calls, atMs: nowMs };
     this.#buckets.set(server, bucket);
     return bucket;
@@ -130,14 +130,19 @@
   #computeShare(server: BackendId, perSecond: number): Share | undefined {
     const { fleet } = this.#parts;
     const members = fleet.listSharing(fleet.self.region);
-    const limit = Math.max(LEAST_PER_SECOND, perSecond);
-    const count = countSharers(limit, members.length);
-    const isSharer = isFirst(server, members, count, fleet.self.id);
-    return isSharer ? computeShare(limit, count) : undefined;
+    const limit = Math.max(MIN_CALLS_PER_SECOND, perSecond);
+    const count = countDesignatedSenders(limit, members.length);
+    const isDesignated = isDesignatedSender(
+      server,
+      members,
+      count,
+      fleet.self.id,
+    );
+    return isDesignated ? computeShare(limit, count) : undefined;
   }
 }
 
-function isFirst(
+function isDesignatedSender(
   server: BackendId,
   members: readonly InstanceId[],
   count: number,
@@ -151,31 +156,32 @@
  * largest burst that the server tolerates even if one more instance considers itself
  * a designated sender.
  */
-function computeShare(perSecond: number, sharers: number): Share {
+function computeShare(perSecond: number, senders: number): Share {
   const windowS = WINDOW_MS / 1_000;
-  const borne = OVERSHOOT * perSecond * windowS + SLACK_CALLS;
-  const callsInWindow = borne / (sharers + UNKNOWN_SHARERS);
+  const toleratedCalls = TOLERATED_OVERSHOOT * perSecond * windowS +
+    SLACK_CALLS;
+  const callsInWindow = toleratedCalls / (senders + UNKNOWN_SENDERS);
   const steadyCalls = Math.min(
-    perSecond * windowS / sharers,
+    perSecond * windowS / senders,
     callsInWindow - 1,
   );
   return {
     callsPerMs: steadyCalls / WINDOW_MS,
-    mostCalls: callsInWindow - steadyCalls,
+    maxBurst: callsInWindow - steadyCalls,
   };
 }
 
 /** Returns the number of designated senders with which most of a limit is used. */
-function countSharers(perSecond: number, members: number): number {
-  const computeUsed = (sharers: number) =>
-    sharers * computeShare(perSecond, sharers).callsPerMs;
-  const least = computeUsed(1);
+function countDesignatedSenders(perSecond: number, members: number): number {
+  const computeUsedRate = (senders: number) =>
+    senders * computeShare(perSecond, senders).callsPerMs;
+  const usedByOne = computeUsedRate(1);
   return Array.from({ length: members }, (_, at) => at + 1)
     .reduce(
-      (best, sharers) =>
-        computeUsed(sharers) >= best.used
-          ? { sharers, used: computeUsed(sharers) }
+      (best, senders) =>
+        computeUsedRate(senders) >= best.used
+          ? { senders, used: computeUsedRate(senders) }
           : best,
-      { sharers: 1, used: least },
-    ).sharers;
+      { senders: 1, used: usedByOne },
+    ).senders;
 }
--- a/forwarding/limit_gate_test.ts
+++ b/forwarding/limit_gate_test.ts
@@ -42,14 +42,14 @@
   });
 }
 
-function countBorne(perSecond: number): number {
+function countTolerated(perSecond: number): number {
   return 1.5 * perSecond * WINDOW_MS / 1_000 + 5;
 }
 
 /** Creates arrivals over ten seconds, with a burst in the middle at every instance. */
 function createArrivals(instances: number, seed: number) {
   const random = createRandom(seed);
-  const rush = Array.from({ length: 8 * instances }, (_, at) => ({
+  const burst = Array.from({ length: 8 * instances }, (_, at) => ({
     atMs: 6_000,
     instance: at,
   }));
@@ -57,7 +57,7 @@
     atMs: 1_000 + index * 5,
     instance: Math.floor(random.nextFloat() * instances),
   }));
-  return [...rush, ...steady].sort((a, b) => a.atMs - b.atMs);
+  return [...burst, ...steady].sort((a, b) => a.atMs - b.atMs);
 }
 
 describe("LimitGate", () => {
@@ -80,7 +80,9 @@
             return createGate(self, known, perSecond).gate;
           });
           const sentMs = play(gates, createArrivals(instances, seed));
-          assert.ok(countMostSends(sentMs, WINDOW_MS) <= countBorne(perSecond));
+          assert.ok(
+            countMostSends(sentMs, WINDOW_MS) <= countTolerated(perSecond),
+          );
         }),
         { numRuns: 200, seed: 20_261_203 },
       );
@@ -102,7 +104,9 @@
           }));
           const sentMs = play(gates, arrivals);
           assert.ok(sentMs.length >= 0.75 * perSecond! * 20);
-          assert.ok(sentMs.length <= perSecond! * 20 + countBorne(perSecond!));
+          assert.ok(
+            sentMs.length <= perSecond! * 20 + countTolerated(perSecond!),
+          );
         });
     });
   });
@@ -134,21 +138,29 @@
   });
 
   it("does not carry unused calls of a high limit over to a lower one", () => {
-    const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 40);
+    const { gate, name } = createGate(
+      toMemberName(0),
+      [toMemberName(0)],
+      40,
+    );
     gate.isOpen(SERVER, 0);
     name(1, 10_000);
-    const rush = Array.from({ length: 100 }, () => ({
+    const burst = Array.from({ length: 100 }, () => ({
       atMs: 10_001,
       instance: 0,
     }));
-    assert.ok(play([gate], rush).length <= countBorne(1) / 2);
+    assert.ok(play([gate], burst).length <= countTolerated(1) / 2);
   });
 
   it("is open for a server that no longer advertises a limit", () => {
-    const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
+    const { gate, name } = createGate(
+      toMemberName(0),
+      [toMemberName(0)],
+      0.2,
+    );
     gate.record(SERVER, 1_000);
     assert.equal(gate.isOpen(SERVER, 1_000), false);
     name(undefined, 1_001);
-    assert.equal(gate.readOpensMs(SERVER, 1_002), 0);
+    assert.equal(gate.readOpensAtMs(SERVER, 1_002), 0);
   });
 });
--- a/forwarding/no_room.ts
+++ b/forwarding/no_room.ts
@@ -12,20 +12,20 @@
  *
  * @param place Why the call has no destination.
  * @param nowMs Time now.
- * @param patienceMs How long the call may still wait, in milliseconds.
+ * @param maxWaitMs How long the call may still wait, in milliseconds.
  */
 export function isHopeless(
   place: NoPlace,
   nowMs: number,
-  patienceMs: number,
+  maxWaitMs: number,
 ): boolean {
   switch (place.kind) {
     case "wait":
-    case "nowhere":
-      return patienceMs <= 0;
-    case "rest":
-      return place.untilMs - nowMs > patienceMs;
-    case "limited":
+    case "no-server":
+      return maxWaitMs <= 0;
+    case "cooling-down":
+      return place.untilMs - nowMs > maxWaitMs;
+    case "rate-limited":
     case "tried":
       return true;
   }
@@ -46,20 +46,20 @@
   const comeBackMs = "untilMs" in place ? place.untilMs - nowMs : 0;
   return {
     reason: "no-room",
-    message: describeNoRoom(service, place.kind),
+    message: describeNoCapacity(service, place.kind),
     retryAfterMs: Math.max(NO_ROOM_RETRY_MS, comeBackMs),
   };
 }
 
-function describeNoRoom(service: string, kind: NoPlace["kind"]): string {
+function describeNoCapacity(service: string, kind: NoPlace["kind"]): string {
   switch (kind) {
     case "wait":
       return `Every server of "${service}" is full`;
-    case "nowhere":
+    case "no-server":
       return `No server of "${service}" may take the call`;
-    case "rest":
+    case "cooling-down":
       return `Every server of "${service}" has asked for rest`;
-    case "limited":
+    case "rate-limited":
       return `The limits of the servers of "${service}" are used up`;
     case "tried":
       return `Every server of "${service}" had the call`;
@@ -67,7 +67,7 @@
 }
 
 /** What the state of servers is described from. */
-export interface KnownOfServers {
+export interface ServerStateSources {
   readonly fleet: Pick<FleetView, "self">;
   readonly loads: LoadBoard;
   readonly registry: ServerRegistry;
@@ -86,15 +86,17 @@
 export function describeServers(
   service: string,
   nowMs: number,
-  { fleet, learned: { health, limits }, loads, registry }: KnownOfServers,
+  { fleet, learned: { health, limits }, loads, registry }: ServerStateSources,
 ): string {
   const leftMs = (untilMs: number) => Math.max(0, Math.round(untilMs - nowMs));
   return registry.listUsable(service, fleet.self.region)
     .map(({ entry: { id }, coldUntilMs }) => {
-      const { calls, memoryTokens, pendingTokens } = loads.readTotal(id);
-      const restMs = leftMs(health.readRestsUntilMs(id));
+      const { calls, memoryTokens: memory, pendingTokens } = loads.readTotal(
+        id,
+      );
+      const cooldownMs = leftMs(health.readCooldownUntilMs(id));
       return `${id} calls=${calls} pending=${pendingTokens}` +
-        ` memory=${memoryTokens} cold=${leftMs(coldUntilMs)} rest=${restMs}` +
+        ` memory=${memory} cold=${leftMs(coldUntilMs)} cooldown=${cooldownMs}` +
         ` limit=${limits.read(id) ?? "none"}`;
     }).join("; ");
 }
--- a/forwarding/prefix_memory.ts
+++ b/forwarding/prefix_memory.ts
@@ -7,7 +7,7 @@
  * Minimum size of a tracked part, in tokens. The prefill of a smaller one takes a few
  * milliseconds, which is not worth the bookkeeping.
  */
-export const LEAST_PART_TOKENS = 256;
+export const MIN_PART_TOKENS = 256;
 
 /** Prompt parts that an engine reports to have cached. */
 export interface HeldParts {
@@ -38,7 +38,7 @@
   return parts.map(({ id, tokens }, index) => {
     key = key === "" ? id : `${key}.${id}`;
     return { key, tokens, isShared: index < parts.length - 1 };
-  }).filter(({ tokens }) => tokens >= LEAST_PART_TOKENS);
+  }).filter(({ tokens }) => tokens >= MIN_PART_TOKENS);
 }
 
 /**
@@ -48,13 +48,13 @@
  * be evicted.
  *
  * @param server The engine.
- * @param held The parts that it reports.
+ * @param reported The parts that it reports.
  */
 export function toHeldPrefixes(
   server: BackendId,
-  held: readonly PromptPart[],
+  reported: readonly PromptPart[],
 ): readonly ReportedPrefix[] {
-  return held.filter(({ tokens }) => tokens >= LEAST_PART_TOKENS)
+  return reported.filter(({ tokens }) => tokens >= MIN_PART_TOKENS)
     .sort((a, b) => a.tokens - b.tokens)
     .map(({ id, tokens }) => ({ server, part: id, tokens }));
 }
@@ -63,17 +63,17 @@
  * Estimates which prompt parts each engine has cached, from what it was sent. The least
  * recently used parts are evicted first, as in an engine.
  */
-export class PrefixMemory {
+export class PrefixCacheModel {
   readonly #byServer = new Map<BackendId, Map<string, number>>();
   readonly #tokens = new Map<BackendId, number>();
 
   /** Returns how many tokens of a prompt a server has cached and needn't prefill. */
-  countCached(server: BackendId, parts: readonly PlacedPart[]): number {
-    const held = this.#byServer.get(server);
-    if (held === undefined) return 0;
+  countCachedTokens(server: BackendId, parts: readonly PlacedPart[]): number {
+    const cache = this.#byServer.get(server);
+    if (cache === undefined) return 0;
     let cached = 0;
     for (const { key, tokens } of parts) {
-      if (!held.has(key)) break;
+      if (!cache.has(key)) break;
       cached += tokens;
     }
     return cached;
@@ -91,15 +91,15 @@
     part: Pick<PlacedPart, "key" | "tokens">,
     capacityTokens: number,
   ): void {
-    const held = this.#byServer.get(server) ?? new Map<string, number>();
-    this.#byServer.set(server, held);
-    const before = held.get(part.key) ?? 0;
-    held.delete(part.key);
-    held.set(part.key, part.tokens);
+    const cache = this.#byServer.get(server) ?? new Map<string, number>();
+    this.#byServer.set(server, cache);
+    const before = cache.get(part.key) ?? 0;
+    cache.delete(part.key);
+    cache.set(part.key, part.tokens);
     let total = (this.#tokens.get(server) ?? 0) + part.tokens - before;
-    for (const [key, tokens] of held) {
+    for (const [key, tokens] of cache) {
       if (total <= capacityTokens) break;
-      held.delete(key);
+      cache.delete(key);
       total -= tokens;
     }
     this.#tokens.set(server, total);
--- a/forwarding/prefix_memory_test.ts
+++ b/forwarding/prefix_memory_test.ts
@@ -1,7 +1,11 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { toBackendId } from "../ids/mod.ts";
-import { placeParts, PrefixMemory, toHeldPrefixes } from "./prefix_memory.ts";
+import {
+  placeParts,
+  PrefixCacheModel,
+  toHeldPrefixes,
+} from "./prefix_memory.ts";
 
 const SERVER = toBackendId("s1");
 
@@ -21,19 +25,19 @@
 
 describe("PrefixMemory", () => {
   it("counts a part as cached only together with all parts before it", () => {
-    const memory = new PrefixMemory();
+    const memory = new PrefixCacheModel();
     const parts = placeParts([{ id: "a", tokens: 800 }, {
       id: "b",
       tokens: 500,
     }]);
     memory.record(SERVER, parts[1]!, 10_000);
-    assert.equal(memory.countCached(SERVER, parts), 0);
+    assert.equal(memory.countCachedTokens(SERVER, parts), 0);
     memory.record(SERVER, parts[0]!, 10_000);
-    assert.equal(memory.countCached(SERVER, parts), 1_300);
+    assert.equal(memory.countCachedTokens(SERVER, parts), 1_300);
   });
 
   it("evicts the least recently used part", () => {
-    const memory = new PrefixMemory();
+    const memory = new PrefixCacheModel();
     const [a] = placeParts([{ id: "a", tokens: 600 }]);
     const [b] = placeParts([{ id: "b", tokens: 600 }]);
     const [c] = placeParts([{ id: "c", tokens: 600 }]);
@@ -41,8 +45,8 @@
     memory.record(SERVER, b!, 1_300);
     memory.record(SERVER, a!, 1_300);
     memory.record(SERVER, c!, 1_300);
-    assert.equal(memory.countCached(SERVER, [a!]), 600);
-    assert.equal(memory.countCached(SERVER, [b!]), 0);
+    assert.equal(memory.countCachedTokens(SERVER, [a!]), 600);
+    assert.equal(memory.countCachedTokens(SERVER, [b!]), 0);
   });
 });
 
@@ -55,11 +59,11 @@
       { id: "own", tokens: 4_000 },
     ]);
     assert.deepEqual(prefixes.map(({ part }) => part), ["own", "large"]);
-    const memory = new PrefixMemory();
+    const memory = new PrefixCacheModel();
     prefixes.forEach(({ part, tokens }) =>
       memory.record(engine, { key: part!, tokens }, 13_500)
     );
     const parts = placeParts([{ id: "large", tokens: 13_000 }]);
-    assert.equal(memory.countCached(engine, parts), 13_000);
+    assert.equal(memory.countCachedTokens(engine, parts), 13_000);
   });
 });
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -16,22 +16,22 @@
 }
 
 /** A call that is being served, and a function that aborts it. */
-interface UnderWay {
+interface ActiveCall {
   readonly content: CallContent;
-  readonly giveUp: () => void;
+  readonly abort: () => void;
 }
 
 /** Keeps calls that crashed servers from being sent to more of them. */
 export class QuarantineGuard {
   readonly quarantine: CallQuarantine;
   readonly #parts: QuarantineGuardParts;
-  readonly #underWay = new Set<UnderWay>();
+  readonly #activeCalls = new Set<ActiveCall>();
 
   /** @param parts Log and store for quarantined calls. */
   constructor(parts: QuarantineGuardParts) {
     this.#parts = parts;
     this.quarantine = new CallQuarantine({
-      onHeld: (held) => this.#hold(held),
+      onHeld: (quarantined) => this.#handleQuarantined(quarantined),
     });
   }
 
@@ -39,13 +39,13 @@
    * Records a call that is being served.
    *
    * @param content Content of the call.
-   * @param giveUp Aborts all sends of the call.
+   * @param abort Aborts all sends of the call.
    * @returns A function to call once the call has been served.
    */
-  begin(content: CallContent, giveUp: () => void): () => void {
-    const underWay = { content, giveUp };
-    this.#underWay.add(underWay);
-    return () => void this.#underWay.delete(underWay);
+  begin(content: CallContent, abort: () => void): () => void {
+    const activeCall = { content, abort };
+    this.#activeCalls.add(activeCall);
+    return () => void this.#activeCalls.delete(activeCall);
   }
 
   /**
@@ -57,12 +57,12 @@
    * @param nowMs Time now.
    */
   findRefusal(content: CallContent, nowMs: number): Refusal | undefined {
-    const heldMs = this.quarantine.readHeldMs(content, nowMs);
-    if (heldMs <= 0) return undefined;
+    const quarantinedMs = this.quarantine.readHeldMs(content, nowMs);
+    if (quarantinedMs <= 0) return undefined;
     return {
       reason: "quarantined",
       message: "Servers ended under this call",
-      retryAfterMs: heldMs,
+      retryAfterMs: quarantinedMs,
     };
   }
 
@@ -73,21 +73,21 @@
       .forEach((ends) => this.#parts.keepRefusedCall?.(ends));
   }
 
-  #hold(held: HeldCall): void {
+  #handleQuarantined(quarantined: HeldCall): void {
     const { keepRefusedCall, logger } = this.#parts;
-    const { call, isSeenHere, servers } = held;
+    const { call, isSeenHere, servers } = quarantined;
     logger.warn("call quarantined", {
       content: call,
       servers: servers.join(" "),
       isSeenHere,
     });
-    this.#takeBack(call);
-    if (isSeenHere) keepRefusedCall?.(held);
+    this.#abortCopies(call);
+    if (isSeenHere) keepRefusedCall?.(quarantined);
   }
 
   /** Aborts all copies of a call: one that waits at a server would crash it when it begins to run. */
-  #takeBack(call: CallFingerprint): void {
-    [...this.#underWay].filter(({ content }) => content.fingerprint === call)
-      .forEach(({ giveUp }) => giveUp());
+  #abortCopies(call: CallFingerprint): void {
+    [...this.#activeCalls].filter(({ content }) => content.fingerprint === call)
+      .forEach(({ abort }) => abort());
   }
 }
--- a/forwarding/repeat_budget.ts
+++ b/forwarding/repeat_budget.ts
@@ -13,23 +13,23 @@
  * Fraction of the bound that is used. Each instance counts calls over its own window,
  * but the bound applies to any window of that length.
  */
-const USED_PART = 0.7;
+const USED_FRACTION = 0.7;
 
 /**
  * The share that one instance has in the bound on retries to a service. The share
  * depends on the number of live instances, so that the sum of all shares never exceeds
  * the bound.
  */
-export class RepeatBudget {
+export class RetryBudget {
   readonly #bounds: RepeatBounds;
   readonly #calls: SlidingCount;
-  readonly #repeats: SlidingCount;
+  readonly #retries: SlidingCount;
 
   /** @param bounds Bound on the retries of all instances together. */
   constructor(bounds: RepeatBounds) {
     this.#bounds = bounds;
     this.#calls = new SlidingCount(bounds.windowMs);
-    this.#repeats = new SlidingCount(bounds.windowMs);
+    this.#retries = new SlidingCount(bounds.windowMs);
   }
 
   /** Records a caller's call. */
@@ -45,17 +45,17 @@
    */
   take(nowMs: number, instances: number): boolean {
     const { ratio, slack } = this.#bounds;
-    const allowed = USED_PART *
+    const allowed = USED_FRACTION *
       (ratio * this.#calls.read(nowMs) + slack / Math.max(1, instances));
-    if (this.#repeats.read(nowMs) + 1 > allowed) return false;
-    this.#repeats.add(nowMs);
+    if (this.#retries.read(nowMs) + 1 > allowed) return false;
+    this.#retries.add(nowMs);
     return true;
   }
 }
 
 /** The shares of one instance in the bounds on retries, by service. */
 export class RepeatBudgets {
-  readonly #byService = new Map<string, RepeatBudget>();
+  readonly #byService = new Map<string, RetryBudget>();
   #bounds: RepeatBounds;
 
   /** @param bounds Bound on the retries of all instances together, for each service. */
@@ -85,9 +85,9 @@
     return this.#find(service).take(nowMs, instances);
   }
 
-  #find(service: string): RepeatBudget {
+  #find(service: string): RetryBudget {
     const known = this.#byService.get(service) ??
-      new RepeatBudget(this.#bounds);
+      new RetryBudget(this.#bounds);
     this.#byService.set(service, known);
     return known;
   }
--- a/forwarding/server_health.ts
+++ b/forwarding/server_health.ts
@@ -4,14 +4,14 @@
 /** Number of consecutive failures after which a server is suspended. */
 const FAILURES_TO_SUSPEND = 2;
 /** First suspension, in milliseconds. Each further one doubles, up to the maximum below. */
-const FIRST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 4_000;
+const INITIAL_SUSPENSION_MS = 500;
+const MAX_SUSPENSION_MS = 4_000;
 /**
  * Time in which the share of rejected calls of a server decays to a third, in milliseconds.
  * Capacity becomes free within a second or two, and only a call that is sent there shows
  * it.
  */
-const REJECTIONS_FADE_MS = 1_000;
+const REJECTIONS_DECAY_MS = 1_000;
 /** Weight of a new outcome in the moving average of failures. */
 const OUTCOME_WEIGHT = 0.08;
 /**
@@ -23,24 +23,24 @@
  * Time in which a route's failure share decays to a third, in milliseconds. Only a call
  * that is sent there shows that the route works again.
  */
-const ROUTE_FAILURES_FADE_MS = 15_000;
+const ROUTE_FAILURES_DECAY_MS = 15_000;
 
 /** Failure share below which a route counts as working at a server. */
-const GOOD_SHARE = 0.1;
+const WORKING_ROUTE_FAILURE_SHARE = 0.1;
 
 /** Moving average of a share of calls, as of `atMs`. */
-interface ShareThen {
+interface DecayingShare {
   readonly share: number;
   readonly atMs: number;
 }
 
 interface Health {
-  readonly byRoute: Map<string, ShareThen>;
-  failuresInRow: number;
-  pauseMs: number;
+  readonly byRoute: Map<string, DecayingShare>;
+  consecutiveFailures: number;
+  suspensionMs: number;
   suspendedUntilMs: number;
   /** End of the cool-down that the server asked for. */
-  restsUntilMs: number;
+  cooldownUntilMs: number;
   failureShare: number;
   /** Moving average of the share of calls that the server rejected, as of `rejectedMs`. */
   rejectedShare: number;
@@ -58,7 +58,7 @@
   | "no-answer";
 
 /** Outcome of a call at a server, with the call's route. */
-export interface ToldOutcome {
+export interface RouteOutcome {
   readonly outcome: ServerOutcome;
   /** Name of the route. */
   readonly route: string;
@@ -97,14 +97,14 @@
   rest(server: BackendId, untilMs: number, nowMs: number): boolean {
     const health = this.#byServer.get(server) ?? createHealth();
     this.#byServer.set(server, health);
-    const isNews = health.restsUntilMs <= nowMs;
-    health.restsUntilMs = Math.max(health.restsUntilMs, untilMs);
-    return isNews;
+    const isNew = health.cooldownUntilMs <= nowMs;
+    health.cooldownUntilMs = Math.max(health.cooldownUntilMs, untilMs);
+    return isNew;
   }
 
   /** Returns the end of a server's cool-down, on this instance's clock; 0 where it never asked for one. */
-  readRestsUntilMs(server: BackendId): number {
-    return this.#byServer.get(server)?.restsUntilMs ?? 0;
+  readCooldownUntilMs(server: BackendId): number {
+    return this.#byServer.get(server)?.cooldownUntilMs ?? 0;
   }
 
   /**
@@ -122,51 +122,52 @@
     if (health === undefined) return 0;
     const failures = Math.max(
       health.failureShare,
-      fadeRouteFailures(health.byRoute.get(route), nowMs),
+      decayRouteFailures(health.byRoute.get(route), nowMs),
     );
-    return Math.min(1, failures + fadeRejections(health, nowMs));
+    return Math.min(1, failures + decayRejections(health, nowMs));
   }
 
   /**
    * Records the outcome of a call.
    *
    * @param server Server that the call was sent to.
-   * @param told Outcome of the call, and its route.
+   * @param outcome Outcome of the call, and its route.
    * @param nowMs Time now.
    * @returns Whether the server is suspended from now on.
    */
   record(
     server: BackendId,
-    { outcome, route }: ToldOutcome,
+    { outcome, route }: RouteOutcome,
     nowMs: number,
   ): boolean {
     const health = this.#byServer.get(server) ?? createHealth();
     this.#byServer.set(server, health);
     const rejected = outcome === "rejected" ? 1 : 0;
-    const rejectedShare = fadeRejections(health, nowMs);
+    const rejectedShare = decayRejections(health, nowMs);
     health.rejectedShare = rejectedShare +
       OUTCOME_WEIGHT * (rejected - rejectedShare);
     health.rejectedMs = nowMs;
     if (outcome === "rejected") return false;
     const failed = outcome === "answered" ? 0 : 1;
     // A missing answer is no evidence about the route.
-    if (outcome !== "no-answer") recordAtRoute(health, route, failed, nowMs);
+    if (outcome !== "no-answer") recordForRoute(health, route, failed, nowMs);
     // Errors of one route while others work are no evidence about the server.
-    const isOfRoute = outcome === "error" && hasGoodRoute(health, nowMs);
-    if (!isOfRoute) {
+    const isRouteSpecific = outcome === "error" &&
+      hasWorkingRoute(health, nowMs);
+    if (!isRouteSpecific) {
       health.failureShare += OUTCOME_WEIGHT * (failed - health.failureShare);
     }
     if (outcome !== "no-answer") {
-      health.failuresInRow = 0;
-      health.pauseMs = FIRST_PAUSE_MS;
+      health.consecutiveFailures = 0;
+      health.suspensionMs = INITIAL_SUSPENSION_MS;
       health.suspendedUntilMs = 0;
       return false;
     }
-    health.failuresInRow++;
-    if (health.failuresInRow < FAILURES_TO_SUSPEND) return false;
+    health.consecutiveFailures++;
+    if (health.consecutiveFailures < FAILURES_TO_SUSPEND) return false;
     if (this.isSuspended(server, nowMs)) return false;
-    health.suspendedUntilMs = nowMs + health.pauseMs;
-    health.pauseMs = Math.min(LONGEST_PAUSE_MS, health.pauseMs * 2);
+    health.suspendedUntilMs = nowMs + health.suspensionMs;
+    health.suspensionMs = Math.min(MAX_SUSPENSION_MS, health.suspensionMs * 2);
     return true;
   }
 
@@ -176,54 +177,56 @@
   }
 }
 
-function recordAtRoute(
+function recordForRoute(
   { byRoute }: Health,
   route: string,
   failed: number,
   nowMs: number,
 ): void {
-  const share = fadeRouteFailures(byRoute.get(route), nowMs);
+  const share = decayRouteFailures(byRoute.get(route), nowMs);
   const next = share + ROUTE_OUTCOME_WEIGHT * (failed - share);
   byRoute.set(route, { share: next, atMs: nowMs });
 }
 
-function hasGoodRoute({ byRoute }: Health, nowMs: number): boolean {
+function hasWorkingRoute({ byRoute }: Health, nowMs: number): boolean {
   return [...byRoute.values()]
-    .some((failures) => fadeRouteFailures(failures, nowMs) < GOOD_SHARE);
+    .some((failures) =>
+      decayRouteFailures(failures, nowMs) < WORKING_ROUTE_FAILURE_SHARE
+    );
 }
 
-function fadeRouteFailures(
-  failures: ShareThen | undefined,
+function decayRouteFailures(
+  failures: DecayingShare | undefined,
   nowMs: number,
 ): number {
   if (failures === undefined) return 0;
-  return fadeShare(failures, ROUTE_FAILURES_FADE_MS, nowMs);
+  return decayShare(failures, ROUTE_FAILURES_DECAY_MS, nowMs);
 }
 
-function fadeRejections(
+function decayRejections(
   { rejectedMs, rejectedShare }: Health,
   nowMs: number,
 ): number {
   const share = { share: rejectedShare, atMs: rejectedMs };
-  return fadeShare(share, REJECTIONS_FADE_MS, nowMs);
+  return decayShare(share, REJECTIONS_DECAY_MS, nowMs);
 }
 
-/** Returns what is left of a share that decays to a third within `fadeMs`. */
-function fadeShare(
-  { atMs, share }: ShareThen,
-  fadeMs: number,
+/** Returns what is left of a share that decays to a third within `decayMs`. */
+function decayShare(
+  { atMs, share }: DecayingShare,
+  decayMs: number,
   nowMs: number,
 ): number {
-  return share * Math.exp((atMs - nowMs) / fadeMs);
+  return share * Math.exp((atMs - nowMs) / decayMs);
 }
 
 function createHealth(): Health {
   return {
     byRoute: new Map(),
-    failuresInRow: 0,
-    pauseMs: FIRST_PAUSE_MS,
+    consecutiveFailures: 0,
+    suspensionMs: INITIAL_SUSPENSION_MS,
     suspendedUntilMs: 0,
-    restsUntilMs: 0,
+    cooldownUntilMs: 0,
     failureShare: 0,
     rejectedShare: 0,
     rejectedMs: 0,
--- a/forwarding/server_health_test.ts
+++ b/forwarding/server_health_test.ts
@@ -6,7 +6,7 @@
 const SERVER = toBackendId("s1");
 
 /** Returns the health after these outcomes, one every 10 ms from time 0 on. */
-function see(...outcomes: readonly ServerOutcome[]): ServerHealth {
+function recordOutcomes(...outcomes: readonly ServerOutcome[]): ServerHealth {
   const health = new ServerHealth();
   outcomes.forEach((outcome, at) =>
     health.record(SERVER, { outcome, route: "r" }, 10 * at)
@@ -17,8 +17,8 @@
 describe("ServerHealth", () => {
   describe("when a server rejects calls", () => {
     it("raises its failure share with each rejection, without suspending it", () => {
-      const once = see("rejected");
-      const often = see("rejected", "rejected", "rejected");
+      const once = recordOutcomes("rejected");
+      const often = recordOutcomes("rejected", "rejected", "rejected");
       assert.ok(once.readFailureShare(SERVER, "r", 30) > 0);
       assert.ok(
         often.readFailureShare(SERVER, "r", 30) >
@@ -28,14 +28,16 @@
     });
 
     it("decays its failure share within seconds, even if it gets no call meanwhile", () => {
-      const health = see(...new Array<ServerOutcome>(50).fill("rejected"));
+      const health = recordOutcomes(
+        ...new Array<ServerOutcome>(50).fill("rejected"),
+      );
       assert.ok(health.readFailureShare(SERVER, "r", 500) > 0.8);
       assert.ok(health.readFailureShare(SERVER, "r", 5_000) < 0.02);
     });
 
     it("keeps the failure share from its errors", () => {
-      const errors = see("error", "error");
-      const both = see("error", "error", "rejected");
+      const errors = recordOutcomes("error", "error");
+      const both = recordOutcomes("error", "error", "rejected");
       assert.ok(
         both.readFailureShare(SERVER, "r", 60_000) >=
           errors.readFailureShare(SERVER, "r", 60_000),
@@ -45,17 +47,17 @@
 
   describe("when a server asks for a cool-down", () => {
     it("keeps the cool-down whatever the server answers", () => {
-      const health = see("answered");
+      const health = recordOutcomes("answered");
       assert.ok(health.rest(SERVER, 3_000, 0));
       health.record(SERVER, { outcome: "answered", route: "r" }, 100);
-      assert.equal(health.readRestsUntilMs(SERVER), 3_000);
+      assert.equal(health.readCooldownUntilMs(SERVER), 3_000);
     });
 
     it("keeps the longer of two overlapping cool-downs, and reports only the first as new", () => {
-      const health = see();
+      const health = recordOutcomes();
       assert.ok(health.rest(SERVER, 3_000, 0));
       assert.ok(!health.rest(SERVER, 1_000, 100));
-      assert.equal(health.readRestsUntilMs(SERVER), 3_000);
+      assert.equal(health.readCooldownUntilMs(SERVER), 3_000);
       assert.ok(health.rest(SERVER, 5_000, 4_000));
     });
   });
--- a/forwarding/server_limits.ts
+++ b/forwarding/server_limits.ts
@@ -7,9 +7,9 @@
  * and takes precedence over older reports of the limit. An instance that is partitioned is
  * counted as a member for as long.
  */
-const ENDED_KEPT_MS = 30_000;
+const ENDED_RETENTION_MS = 30_000;
 /** Maximum number of limits in one report, so that the report fits into one packet. */
-const MAX_REPORTED = 16;
+const MAX_REPORTED_LIMITS = 16;
 
 /** Where the known limit of a server comes from. */
 export type LimitSource =
@@ -21,16 +21,16 @@
   | "summary";
 
 /** The limit that a server advertised last, or the end of its limit. */
-interface HeardLimit {
+interface KnownLimit {
   /** Calls a second from all instances together; `undefined` where the server's limit has ended. */
   readonly perSecond: number | undefined;
   /** When the server advertised that, on this instance's clock. */
-  readonly saidMs: number;
+  readonly advertisedMs: number;
   readonly source: LimitSource;
 }
 
 /** The limit that a server advertises in an answer. */
-export interface SaidLimit {
+export interface AdvertisedLimit {
   /** Calls a second from all instances together; `undefined` where the answer names no limit. */
   readonly perSecond: number | undefined;
   /** When the call was sent, on this instance's clock. */
@@ -46,18 +46,18 @@
  * that is passed round would look new again.
  */
 export class ServerLimits {
-  readonly #heard = new Map<BackendId, HeardLimit>();
-  #turn = 0;
+  readonly #known = new Map<BackendId, KnownLimit>();
+  #reportOffset = 0;
 
   /** Number of servers that advertise a limit. */
   get count(): number {
-    return [...this.#heard.values()]
+    return [...this.#known.values()]
       .filter(({ perSecond }) => perSecond !== undefined).length;
   }
 
   /** Returns the limit of a server in calls a second, or `undefined` where it advertises none. */
   read(server: BackendId): number | undefined {
-    return this.#heard.get(server)?.perSecond;
+    return this.#known.get(server)?.perSecond;
   }
 
   /**
@@ -65,22 +65,22 @@
    * it names when it rejects a call.
    *
    * @param server The server.
-   * @param said What it advertises.
+   * @param limit What it advertises.
    * @param nowMs Time now.
    * @returns Whether the limit has changed.
    */
   hear(
     server: BackendId,
-    { perSecond, sentMs }: SaidLimit,
+    { perSecond, sentMs }: AdvertisedLimit,
     nowMs: number,
   ): boolean {
-    const before = this.#heard.get(server);
+    const before = this.#known.get(server);
     if (perSecond === undefined) {
       if (before?.perSecond === undefined) return false;
       // An answer to a call sent before the limit was advertised is no evidence of its end.
-      if (sentMs < before.saidMs) return false;
+      if (sentMs < before.advertisedMs) return false;
     }
-    this.#heard.set(server, { perSecond, saidMs: nowMs, source: "own" });
+    this.#known.set(server, { perSecond, advertisedMs: nowMs, source: "own" });
     return before?.perSecond !== perSecond;
   }
 
@@ -98,16 +98,20 @@
     source: Exclude<LimitSource, "own">,
     nowMs: number,
   ): readonly ReportedLimit[] {
-    const later = limits.filter(({ ageMs, server }) =>
-      nowMs - ageMs > (this.#heard.get(server)?.saidMs ?? -Infinity)
+    const newer = limits.filter(({ ageMs, server }) =>
+      nowMs - ageMs > (this.#known.get(server)?.advertisedMs ?? -Infinity)
     );
-    const news = later.filter(({ perSecond, server }) =>
+    const changed = newer.filter(({ perSecond, server }) =>
       perSecond !== this.read(server)
     );
-    later.forEach(({ ageMs, perSecond, server }) =>
-      this.#heard.set(server, { perSecond, saidMs: nowMs - ageMs, source })
+    newer.forEach(({ ageMs, perSecond, server }) =>
+      this.#known.set(server, {
+        perSecond,
+        advertisedMs: nowMs - ageMs,
+        source,
+      })
     );
-    return news;
+    return changed;
   }
 
   /**
@@ -122,32 +126,32 @@
     scope: "instance" | "region",
     nowMs: number,
   ): readonly ReportedLimit[] {
-    if (this.#heard.size === 0) return [];
-    this.#forgetEnded(nowMs);
-    const rows = [...this.#heard]
+    if (this.#known.size === 0) return [];
+    this.#deleteEnded(nowMs);
+    const rows = [...this.#known]
       .filter(([, { source }]) =>
         source === "own" || scope === "region" && source === "member"
       )
-      .map(([server, { perSecond, saidMs }]) => ({
+      .map(([server, { perSecond, advertisedMs }]) => ({
         server,
         perSecond,
-        ageMs: nowMs - saidMs,
+        ageMs: nowMs - advertisedMs,
       }));
-    if (rows.length <= MAX_REPORTED) return rows;
-    const first = this.#turn % rows.length;
-    this.#turn += MAX_REPORTED;
+    if (rows.length <= MAX_REPORTED_LIMITS) return rows;
+    const first = this.#reportOffset % rows.length;
+    this.#reportOffset += MAX_REPORTED_LIMITS;
     return [...rows.slice(first), ...rows.slice(0, first)]
-      .slice(0, MAX_REPORTED);
+      .slice(0, MAX_REPORTED_LIMITS);
   }
 
   /** Removes the limits of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
-    forgetOthers(this.#heard, servers);
+    forgetOthers(this.#known, servers);
   }
 
-  #forgetEnded(nowMs: number): void {
-    [...this.#heard].filter(([, { perSecond, saidMs }]) =>
-      perSecond === undefined && nowMs - saidMs > ENDED_KEPT_MS
-    ).forEach(([server]) => this.#heard.delete(server));
+  #deleteEnded(nowMs: number): void {
+    [...this.#known].filter(([, { perSecond, advertisedMs }]) =>
+      perSecond === undefined && nowMs - advertisedMs > ENDED_RETENTION_MS
+    ).forEach(([server]) => this.#known.delete(server));
   }
 }
--- a/forwarding/server_limits_test.ts
+++ b/forwarding/server_limits_test.ts
@@ -54,13 +54,13 @@
       const limits = new ServerLimits();
       limits.hear(SERVER, { perSecond: 2, sentMs: 100 }, 100);
       const row = { perSecond: 3, ageMs: 0 };
-      const [near, far] = [toBackendId("s2"), toBackendId("s3")];
-      limits.learn([{ server: near, ...row }], "member", 100);
-      limits.learn([{ server: far, ...row }], "summary", 100);
+      const [local, remote] = [toBackendId("s2"), toBackendId("s3")];
+      limits.learn([{ server: local, ...row }], "member", 100);
+      limits.learn([{ server: remote, ...row }], "summary", 100);
       const list = (scope: "instance" | "region") =>
         limits.listReported(scope, 150).map(({ server }) => server);
       assert.deepEqual(list("instance"), [SERVER]);
-      assert.deepEqual(list("region"), [SERVER, near]);
+      assert.deepEqual(list("region"), [SERVER, local]);
     });
 
     it("lists all limits in rotation when there are many", () => {
@@ -69,11 +69,11 @@
       all.forEach((server) =>
         limits.hear(server, { perSecond: 2, sentMs: 1 }, 1)
       );
-      const told = Array.from(
+      const listed = Array.from(
         { length: 3 },
         () => limits.listReported("instance", 2),
       ).flat().map(({ server }) => server);
-      assert.equal(new Set(told).size, 40);
+      assert.equal(new Set(listed).size, 40);
     });
   });
 });
--- a/forwarding/server_pulses.ts
+++ b/forwarding/server_pulses.ts
@@ -13,7 +13,7 @@
  * are resumed elsewhere. It is twice the time above, since a stream that is resumed is late
  * already, and its prompt is prefilled again.
  */
-const GONE_SILENCE_MS = 1_000;
+const DEAD_SILENCE_MS = 1_000;
 /**
  * Silence of a server that has begun no answer, after which new calls are sent elsewhere,
  * as a multiple of the estimated time to its next first byte; it is at least
@@ -21,16 +21,16 @@
  */
 const SILENCE_ESTIMATES = 4;
 
-interface Pulse {
-  heardMs: number;
+interface Activity {
+  lastByteMs: number;
   /** When each call in flight was sent, the oldest first. */
-  readonly sentMs: Set<{ readonly atMs: number }>;
+  readonly sends: Set<{ readonly atMs: number }>;
   /** Number of calls in flight whose answers have begun. */
-  begun: number;
+  begunAnswers: number;
 }
 
 /** A call in flight at a server. */
-export interface PulseCall {
+export interface TrackedCall {
   /** Records that bytes of the answer were received. */
   readonly hear: (nowMs: number) => void;
   /** Records that the call has ended. */
@@ -46,8 +46,8 @@
  *
  * A server is never given up for good: a single byte from it makes it usable again.
  */
-export class ServerPulses {
-  readonly #byServer = new Map<BackendId, Pulse>();
+export class ServerLiveness {
+  readonly #byServer = new Map<BackendId, Activity>();
 
   /**
    * Records a call that is sent to a server.
@@ -55,21 +55,21 @@
    * @param server The server.
    * @param nowMs Time now.
    */
-  begin(server: BackendId, nowMs: number): PulseCall {
-    const pulse = this.#byServer.get(server) ??
-      { heardMs: nowMs, sentMs: new Set(), begun: 0 };
-    this.#byServer.set(server, pulse);
+  begin(server: BackendId, nowMs: number): TrackedCall {
+    const activity = this.#byServer.get(server) ??
+      { lastByteMs: nowMs, sends: new Set(), begunAnswers: 0 };
+    this.#byServer.set(server, activity);
     const sent = { atMs: nowMs };
-    pulse.sentMs.add(sent);
+    activity.sends.add(sent);
     let hasBegun = false;
     return {
-      hear: (heardMs) => {
-        pulse.heardMs = heardMs;
-        if (!hasBegun) pulse.begun++;
+      hear: (receivedMs) => {
+        activity.lastByteMs = receivedMs;
+        if (!hasBegun) activity.begunAnswers++;
         hasBegun = true;
       },
       end: () => {
-        if (pulse.sentMs.delete(sent) && hasBegun) pulse.begun--;
+        if (activity.sends.delete(sent) && hasBegun) activity.begunAnswers--;
       },
     };
   }
@@ -94,19 +94,19 @@
    */
   isGone(server: BackendId, nowMs: number): boolean {
     return this.#isStreaming(server) &&
-      this.#readSilenceMs(server, nowMs) > GONE_SILENCE_MS;
+      this.#readSilenceMs(server, nowMs) > DEAD_SILENCE_MS;
   }
 
   #isStreaming(server: BackendId): boolean {
-    return (this.#byServer.get(server)?.begun ?? 0) > 0;
+    return (this.#byServer.get(server)?.begunAnswers ?? 0) > 0;
   }
 
   /** Returns how long a server with calls in flight has been silent, in milliseconds; 0 without calls. */
   #readSilenceMs(server: BackendId, nowMs: number): number {
-    const pulse = this.#byServer.get(server);
-    const [oldest] = pulse?.sentMs ?? [];
-    if (pulse === undefined || oldest === undefined) return 0;
-    return nowMs - Math.max(pulse.heardMs, oldest.atMs);
+    const activity = this.#byServer.get(server);
+    const [oldest] = activity?.sends ?? [];
+    if (activity === undefined || oldest === undefined) return 0;
+    return nowMs - Math.max(activity.lastByteMs, oldest.atMs);
   }
 
   /** Removes the state of all servers but the given ones. */
--- a/forwarding/server_pulses_test.ts
+++ b/forwarding/server_pulses_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { toBackendId } from "../ids/mod.ts";
-import { ServerPulses } from "./server_pulses.ts";
+import { ServerLiveness } from "./server_pulses.ts";
 
 const SERVER = toBackendId("s1");
 /** Estimated time of a server to its first byte, in milliseconds. */
@@ -10,42 +10,42 @@
 describe("ServerPulses", () => {
   describe("when a server streams answers", () => {
     it("considers it silent once no stream has sent a byte for a while", () => {
-      const pulses = new ServerPulses();
-      const calls = [0, 10].map((nowMs) => pulses.begin(SERVER, nowMs));
+      const liveness = new ServerLiveness();
+      const calls = [0, 10].map((nowMs) => liveness.begin(SERVER, nowMs));
       calls.forEach((call) => call.hear(100));
-      assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 600), false);
-      assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 601), true);
+      assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 600), false);
+      assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 601), true);
       calls[1]!.hear(700);
-      assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 701), false);
+      assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 701), false);
     });
 
     it("waits for the first byte of the other calls once the streams have ended", () => {
-      const pulses = new ServerPulses();
-      const begun = pulses.begin(SERVER, 0);
+      const liveness = new ServerLiveness();
+      const begun = liveness.begin(SERVER, 0);
       begun.hear(100);
-      pulses.begin(SERVER, 200);
+      liveness.begin(SERVER, 200);
       begun.end();
       begun.end();
-      assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 1_000), false);
-      assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 1_001), true);
+      assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 1_000), false);
+      assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 1_001), true);
     });
   });
 
   it("considers a server that streams dead after a longer silence", () => {
-    const pulses = new ServerPulses();
-    const call = pulses.begin(SERVER, 0);
-    assert.equal(pulses.isGone(SERVER, 5_000), false);
+    const liveness = new ServerLiveness();
+    const call = liveness.begin(SERVER, 0);
+    assert.equal(liveness.isGone(SERVER, 5_000), false);
     call.hear(5_000);
-    assert.equal(pulses.isGone(SERVER, 6_000), false);
-    assert.equal(pulses.isGone(SERVER, 6_001), true);
+    assert.equal(liveness.isGone(SERVER, 6_000), false);
+    assert.equal(liveness.isGone(SERVER, 6_001), true);
   });
 
   it("does not consider a server silent that has no calls", () => {
-    const pulses = new ServerPulses();
-    assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 90_000), false);
-    pulses.begin(SERVER, 0).end();
-    assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 90_000), false);
-    pulses.begin(SERVER, 90_000);
-    assert.equal(pulses.isSilent(SERVER, ESTIMATE_MS, 90_100), false);
+    const liveness = new ServerLiveness();
+    assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 90_000), false);
+    liveness.begin(SERVER, 0).end();
+    assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 90_000), false);
+    liveness.begin(SERVER, 90_000);
+    assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 90_100), false);
   });
 });
--- a/forwarding/server_speed.ts
+++ b/forwarding/server_speed.ts
@@ -4,13 +4,13 @@
 /** Weight of a new sample in the moving average: about the last ten samples count. */
 const SAMPLE_WEIGHT = 0.1;
 /** Minimum size of a prompt whose time is a sample of the prefill speed, in tokens. */
-const TELLING_TOKENS = 2_000;
+const MIN_SAMPLE_TOKENS = 2_000;
 /** Prefill speed before any sample, in tokens a millisecond: that of a mid-range engine. */
 const INITIAL_TOKENS_PER_MS = 40;
 /** Time to the first byte without the prefill, before any sample, in milliseconds. */
 const INITIAL_BASE_MS = 40;
 /** Bounds on the speed of a sample, in tokens a millisecond: an outlier must not distort the estimate. */
-const SPEED_BOUNDS_PER_MS = { least: 2, most: 2_000 };
+const SPEED_BOUNDS_PER_MS = { min: 2, max: 2_000 };
 
 interface Speed {
   baseMs: number;
@@ -50,9 +50,9 @@
     const speed = this.#byServer.get(server) ??
       { ...this.#readService(service) };
     this.#byServer.set(server, speed);
-    learn(speed, sample);
+    updateSpeed(speed, sample);
     const mean = this.#readService(service);
-    learn(mean, sample);
+    updateSpeed(mean, sample);
     this.#byService.set(service, mean);
   }
 
@@ -67,21 +67,21 @@
   }
 }
 
-function learn(
+function updateSpeed(
   speed: Speed,
   { tokens, firstByteMs }: {
     readonly tokens: number;
     readonly firstByteMs: number;
   },
 ): void {
-  if (tokens < TELLING_TOKENS) {
+  if (tokens < MIN_SAMPLE_TOKENS) {
     const baseMs = Math.max(0, firstByteMs - tokens / speed.tokensPerMs);
     speed.baseMs += SAMPLE_WEIGHT * (baseMs - speed.baseMs);
     return;
   }
-  const readingMs = Math.max(1, firstByteMs - speed.baseMs);
-  const { least, most } = SPEED_BOUNDS_PER_MS;
-  const measured = Math.min(most, Math.max(least, tokens / readingMs));
+  const prefillMs = Math.max(1, firstByteMs - speed.baseMs);
+  const { min, max } = SPEED_BOUNDS_PER_MS;
+  const measured = Math.min(max, Math.max(min, tokens / prefillMs));
   // Averages the time per token, not the speed, since the estimates are times.
   const perToken = 1 / speed.tokensPerMs;
   speed.tokensPerMs = 1 /
--- a/forwarding/turn_gate.ts
+++ b/forwarding/turn_gate.ts
@@ -5,20 +5,20 @@
  * of connections accepted in one, so that calls over new connections keep pace with those
  * over open ones. A call costs 1 to 3 ms on a small processor.
  */
-const CALLS_PER_TURN = 1;
+const CALLS_PER_ITERATION = 1;
 /**
  * Maximum estimated wait at which a call is admitted, in milliseconds. It is about a
  * quarter of the shortest response-time objectives, so that a call that is refused can
  * still be served elsewhere in time.
  */
-const LONGEST_WAIT_MS = 100;
+const MAX_WAIT_MS = 100;
 /** Weight of the last iteration in the moving average of their durations: about the last ten count. */
-const LAST_TURN_WEIGHT = 0.1;
+const LAST_ITERATION_WEIGHT = 0.1;
 /**
  * Maximum duration with which one iteration counts, in milliseconds. A pause of the process
  * is no evidence about the next iterations.
  */
-const LONGEST_TURN_MS = 50;
+const MAX_ITERATION_MS = 50;
 
 /**
  * Spreads the handling of calls over iterations of the event loop.
@@ -39,9 +39,9 @@
 export class TurnGate {
   readonly #clock: Clock;
   readonly #waiting: (() => void)[] = [];
-  #begun = 0;
-  #turnMs = 1;
-  #turnedMs = 0;
+  #begunCount = 0;
+  #meanIterationMs = 1;
+  #iterationStartMs = 0;
 
   /** @param clock Source of time; a timer of 0 ms is due in the next iteration of the event loop. */
   constructor(clock: Clock) {
@@ -50,7 +50,7 @@
 
   /** Estimated wait of a call that arrives now, in milliseconds. */
   get waitMs(): number {
-    return this.#waiting.length * this.#turnMs / CALLS_PER_TURN;
+    return this.#waiting.length * this.#meanIterationMs / CALLS_PER_ITERATION;
   }
 
   /**
@@ -61,28 +61,28 @@
    * for too long.
    */
   async enter(): Promise<boolean> {
-    if (this.waitMs > LONGEST_WAIT_MS) return false;
-    if (this.#begun === 0) this.#scheduleTurn();
-    if (this.#waiting.length === 0 && this.#begun < CALLS_PER_TURN) {
-      this.#begun++;
+    if (this.waitMs > MAX_WAIT_MS) return false;
+    if (this.#begunCount === 0) this.#scheduleIteration();
+    if (this.#waiting.length === 0 && this.#begunCount < CALLS_PER_ITERATION) {
+      this.#begunCount++;
       return true;
     }
     await new Promise<void>((open) => this.#waiting.push(open));
     return true;
   }
 
-  #scheduleTurn(): void {
-    this.#turnedMs = this.#clock.nowMs();
-    this.#clock.schedule(0, () => this.#beginTurn());
+  #scheduleIteration(): void {
+    this.#iterationStartMs = this.#clock.nowMs();
+    this.#clock.schedule(0, () => this.#beginIteration());
   }
 
-  #beginTurn(): void {
-    const lastMs = this.#clock.nowMs() - this.#turnedMs;
-    this.#turnMs += LAST_TURN_WEIGHT *
-      (Math.min(lastMs, LONGEST_TURN_MS) - this.#turnMs);
-    const next = this.#waiting.splice(0, CALLS_PER_TURN);
-    this.#begun = next.length;
-    if (next.length > 0) this.#scheduleTurn();
+  #beginIteration(): void {
+    const lastMs = this.#clock.nowMs() - this.#iterationStartMs;
+    this.#meanIterationMs += LAST_ITERATION_WEIGHT *
+      (Math.min(lastMs, MAX_ITERATION_MS) - this.#meanIterationMs);
+    const next = this.#waiting.splice(0, CALLS_PER_ITERATION);
+    this.#begunCount = next.length;
+    if (next.length > 0) this.#scheduleIteration();
     next.forEach((open) => open());
   }
 }
--- a/forwarding/turn_gate_test.ts
+++ b/forwarding/turn_gate_test.ts
@@ -10,12 +10,12 @@
   const begun: number[] = [];
   const enter = (call: number) =>
     void gate.enter().then(() => begun.push(call));
-  const takeTurn = async () => {
+  const runIteration = async () => {
     loop.work(1);
     loop.turn();
     await setImmediate();
   };
-  return { gate, begun, enter, loop, takeTurn };
+  return { gate, begun, enter, loop, runIteration };
 }
 
 describe("TurnGate", () => {
@@ -27,14 +27,14 @@
   });
 
   it("begins further calls in later iterations, in order", async () => {
-    const { begun, enter, gate, takeTurn } = start();
+    const { begun, enter, gate, runIteration } = start();
     [1, 2, 3].forEach(enter);
-    await takeTurn();
+    await runIteration();
     assert.deepEqual(begun, [1, 2]);
     assert.ok(gate.waitMs > 0);
     enter(4);
-    await takeTurn();
-    await takeTurn();
+    await runIteration();
+    await runIteration();
     assert.deepEqual(begun, [1, 2, 3, 4]);
     assert.equal(gate.waitMs, 0);
   });
@@ -46,20 +46,20 @@
   });
 
   it("estimates the wait from the durations of recent iterations", async () => {
-    const { gate, enter, loop, takeTurn } = start();
+    const { gate, enter, loop, runIteration } = start();
     Array.from({ length: 60 }, (_, call) => enter(call));
-    for (let turn = 0; turn < 30; turn++) {
+    for (let iteration = 0; iteration < 30; iteration++) {
       loop.work(9);
-      await takeTurn();
+      await runIteration();
     }
     assert.ok(gate.waitMs > 200, `waits ${gate.waitMs} ms`);
     assert.equal(await gate.enter(), false);
   });
 
   it("admits a call at once after an iteration in which none waited", async () => {
-    const { begun, enter, takeTurn } = start();
+    const { begun, enter, runIteration } = start();
     enter(1);
-    await takeTurn();
+    await runIteration();
     enter(2);
     await setImmediate();
     assert.deepEqual(begun, [1, 2]);
--- a/forwarding/waiting_line.ts
+++ b/forwarding/waiting_line.ts
@@ -1,6 +1,6 @@
 import { type Clock, waitFor } from "../clock/mod.ts";
 
-interface Place {
+interface Ticket {
   readonly rank: number;
   readonly order: number;
   readonly wake: () => void;
@@ -9,7 +9,7 @@
 /** Queue of calls that wait for capacity, ordered by urgency and then by waiting time. */
 export class WaitingLine {
   readonly #clock: Clock;
-  #places: readonly Place[] = [];
+  #tickets: readonly Ticket[] = [];
   #order = 0;
 
   /** @param clock Source of time. */
@@ -19,7 +19,7 @@
 
   /** Number of calls that wait. */
   get length(): number {
-    return this.#places.length;
+    return this.#tickets.length;
   }
 
   /** Returns a number that keeps a call's position in the queue over several waits. */
@@ -30,31 +30,31 @@
   /**
    * Waits until woken, but no longer than a maximum time.
    *
-   * @param place Rank of the call, where 0 is the most urgent, and its number.
-   * @param longestMs Maximum wait, in milliseconds.
+   * @param ticket Rank of the call, where 0 is the most urgent, and its number.
+   * @param maxWaitMs Maximum wait, in milliseconds.
    * @param signal Ends the wait when aborted.
    */
   async wait(
-    place: { readonly rank: number; readonly order: number },
-    longestMs: number,
+    ticket: { readonly rank: number; readonly order: number },
+    maxWaitMs: number,
     signal: AbortSignal,
   ): Promise<void> {
     const woken = new AbortController();
     const wake = () => woken.abort("woken");
-    const mine = { ...place, wake };
-    this.#places = [...this.#places, mine].sort(comparePlaces);
+    const queued = { ...ticket, wake };
+    this.#tickets = [...this.#tickets, queued].sort(compareTickets);
     signal.addEventListener("abort", wake, { once: true });
-    await waitFor(this.#clock, longestMs, woken.signal);
+    await waitFor(this.#clock, maxWaitMs, woken.signal);
     signal.removeEventListener("abort", wake);
-    this.#places = this.#places.filter((each) => each !== mine);
+    this.#tickets = this.#tickets.filter((each) => each !== queued);
   }
 
   /** Wakes the first calls of the queue, so that they look for capacity again. */
   wakeFirst(count: number): void {
-    this.#places.slice(0, count).forEach(({ wake }) => wake());
+    this.#tickets.slice(0, count).forEach(({ wake }) => wake());
   }
 }
 
-function comparePlaces(a: Place, b: Place): number {
+function compareTickets(a: Ticket, b: Ticket): number {
   return a.rank - b.rank || a.order - b.order;
 }
--- a/forwarding/warm_up_gate.ts
+++ b/forwarding/warm_up_gate.ts
@@ -16,13 +16,13 @@
  * designated senders that send at the same moment, and for differing views of the
  * members.
  */
-const USED_PART = 0.8;
+const USED_FRACTION = 0.8;
 /**
  * Additional instances that may consider themselves designated senders: one may have
  * joined or been removed while others don't know of it yet. With rendezvous ranks, one
  * change of the members changes at most one designated sender.
  */
-const UNKNOWN_SHARERS = 1;
+const UNKNOWN_SENDERS = 1;
 
 /** What a `WarmUpGate` is created from. */
 export interface WarmUpGateParts {
@@ -37,7 +37,7 @@
 interface Share {
   readonly membershipVersion: number;
   /** Interval between own calls, in milliseconds; `undefined` where this instance is no designated sender. */
-  readonly pauseMs: number | undefined;
+  readonly intervalMs: number | undefined;
 }
 
 /**
@@ -69,8 +69,8 @@
    */
   isOpen(server: BackendId, callsPerSecond: number, nowMs: number): boolean {
     if (!this.#parts.fleet.isSettled(nowMs)) return false;
-    const { pauseMs } = this.#readShare(server, callsPerSecond);
-    return pauseMs !== undefined && nowMs >= (this.#nextMs.get(server) ?? 0);
+    const { intervalMs } = this.#readShare(server, callsPerSecond);
+    return intervalMs !== undefined && nowMs >= (this.#nextMs.get(server) ?? 0);
   }
 
   /**
@@ -81,8 +81,8 @@
    * @param nowMs Time now.
    */
   record(server: BackendId, callsPerSecond: number, nowMs: number): void {
-    const { pauseMs } = this.#readShare(server, callsPerSecond);
-    this.#nextMs.set(server, nowMs + (pauseMs ?? 0));
+    const { intervalMs } = this.#readShare(server, callsPerSecond);
+    this.#nextMs.set(server, nowMs + (intervalMs ?? 0));
   }
 
   /** Removes the state of all servers but the given ones. */
@@ -96,20 +96,20 @@
     const { membershipVersion, self } = fleet;
     const known = this.#shares.get(server);
     if (known?.membershipVersion === membershipVersion) return known;
-    const pauseMs = computePauseMs({
+    const intervalMs = computeIntervalMs({
       server,
       callsPerSecond,
       bounds,
       self: self.id,
       members: fleet.listSharing(self.region),
     });
-    const share = { membershipVersion, pauseMs };
+    const share = { membershipVersion, intervalMs };
     this.#shares.set(server, share);
     return share;
   }
 }
 
-function computePauseMs({ server, callsPerSecond, bounds, self, members }: {
+function computeIntervalMs({ server, callsPerSecond, bounds, self, members }: {
   readonly server: BackendId;
   readonly callsPerSecond: number;
   readonly bounds: WarmUpBounds;
@@ -118,11 +118,11 @@
 }): number | undefined {
   const count = Math.min(
     members.length,
-    countSharers(callsPerSecond, bounds),
+    countDesignatedSenders(callsPerSecond, bounds),
   );
-  const sharers = rankNames(server, members).slice(0, count);
-  if (!sharers.includes(self)) return undefined;
-  return 1_000 * count / (USED_PART * callsPerSecond);
+  const senders = rankNames(server, members).slice(0, count);
+  if (!senders.includes(self)) return undefined;
+  return 1_000 * count / (USED_FRACTION * callsPerSecond);
 }
 
 /**
@@ -130,15 +130,15 @@
  * the bound, even if one more instance considers itself one. In any second, each sends
  * at most its share and one call more.
  */
-function countSharers(
+function countDesignatedSenders(
   callsPerSecond: number,
   { overshoot, slack }: WarmUpBounds,
 ): number {
   const bound = overshoot * callsPerSecond + slack;
-  const countCalls = (sharers: number) =>
-    (sharers + UNKNOWN_SHARERS) *
-    (USED_PART * callsPerSecond / sharers + 1);
-  let sharers = 1;
-  while (countCalls(sharers + 1) <= bound) sharers++;
-  return sharers;
+  const countCalls = (senders: number) =>
+    (senders + UNKNOWN_SENDERS) *
+    (USED_FRACTION * callsPerSecond / senders + 1);
+  let senders = 1;
+  while (countCalls(senders + 1) <= bound) senders++;
+  return senders;
 }
--- a/forwarding/warm_up_gate_test.ts
+++ b/forwarding/warm_up_gate_test.ts
@@ -44,7 +44,7 @@
 /** Creates arrivals over three seconds, with a burst at the start at every instance. */
 function createArrivals(instances: number, seed: number) {
   const random = createRandom(seed);
-  const rush = Array.from({ length: instances }, (_, instance) => ({
+  const burst = Array.from({ length: instances }, (_, instance) => ({
     atMs: 1_000,
     instance,
   }));
@@ -52,7 +52,7 @@
     atMs: 1_000 + index * 5,
     instance: Math.floor(random.nextFloat() * instances),
   }));
-  return [...rush, ...steady];
+  return [...burst, ...steady];
 }
 
 describe("WarmUpGate", () => {
