--- a/forwarding/choose_place.ts
+++ b/forwarding/choose_place.ts
@@ -6,13 +6,13 @@
 import {
   type CallNeeds,
   type Candidate,
+  type EligibleServer,
   FIRST_RANK_BONUS_MS,
-  type OpenServer,
   type ServerChooser,
 } from "./choose_server.ts";
 import type { Exchange } from "./exchange.ts";
 
-/** Where a call goes next. */
+/** Where a call is sent next, or why it is sent nowhere now. */
 export type Place =
   | { readonly kind: "here"; readonly candidate: Candidate }
   | {
@@ -21,55 +21,65 @@
     readonly region: RegionId;
     readonly candidate: Candidate;
   }
-  /** No server has room now, but some may get it. */
+  /** Every eligible server is at capacity now; one of them may free some. */
   | { readonly kind: "wait" }
-  /** All servers that may run the call rest, the first of them until then, on the own clock. */
-  | { readonly kind: "rest"; readonly untilMs: number }
-  /** Of the servers that don't rest the limits are used up, the first of them until then. */
-  | { readonly kind: "limited"; readonly untilMs: number }
-  /** All had the call before; a new one may be taken from then on. */
+  /**
+   * All servers that may run the call are cooling down. The first cool-down ends at
+   * `untilMs`, on this instance's clock.
+   */
+  | { readonly kind: "cooling-down"; readonly untilMs: number }
+  /**
+   * Every server that isn't cooling down has used up its rate limit. The first of them
+   * takes calls again at `untilMs`.
+   */
+  | { readonly kind: "rate-limited"; readonly untilMs: number }
+  /**
+   * The call was sent to every server before. The first server takes a new call at
+   * `untilMs`.
+   */
   | { readonly kind: "tried"; readonly untilMs: number }
   /** No server is known that may run the call. */
-  | { readonly kind: "nowhere" };
+  | { readonly kind: "no-server" };
 
-/** Why a call goes nowhere now. */
+/** Why a call has no destination now. */
 export type NoPlace = Exclude<Place, { readonly kind: "here" | "away" }>;
 
 /**
- * Time to another region and back before it is measured, in milliseconds: tens
- * of milliseconds each way, as the users' brief has it.
+ * Round trip to another region before it is measured, in milliseconds. The
+ * requirements assume tens of milliseconds each way.
  */
 const INITIAL_ROUND_TRIP_MS = 110;
-/** Part that a new measurement has in the running mean. */
+/** Weight of a new measurement in the moving average. */
 const ROUND_TRIP_WEIGHT = 0.1;
 /**
- * Part of the objective by which another region must be faster: a call that
- * leaves costs bytes between regions and a cold cache there.
+ * Fraction of the response-time objective by which a remote region must be faster
+ * than the local one. A call that is sent there costs traffic between regions and
+ * meets a cold cache.
  */
-const AWAY_MARGIN = 0.05;
+const REMOTE_MARGIN_FRACTION = 0.05;
 
-/** What places are chosen from. */
-export interface PlaceChooserParts {
+/** What destinations are chosen from. */
+export interface DestinationChooserParts {
   readonly fleet: FleetView;
-  readonly servers: Pick<ServerChooser, "choose" | "listOpen">;
+  readonly servers: Pick<ServerChooser, "choose" | "listEligible">;
   readonly random: Random;
   readonly listRegions: () => readonly RegionId[];
 }
 
-/** Decides between the own region and another one. */
+/** Chooses between the servers of the local region and those of remote regions. */
 export class PlaceChooser {
-  readonly #parts: PlaceChooserParts;
+  readonly #parts: DestinationChooserParts;
   readonly #roundTripMs = new Map<RegionId, number>();
-  /** Prompt tokens of own calls on their way to other regions: no report counts them yet. */
-  readonly #tokensUnderWay = new Map<RegionId, number>();
+  /** Prompt tokens of own calls in transit to remote regions; no load report includes them yet. */
+  readonly #tokensInTransit = new Map<RegionId, number>();
 
-  /** @param parts What is known of instances and servers. */
-  constructor(parts: PlaceChooserParts) {
+  /** @param parts Views of instances and servers. */
+  constructor(parts: DestinationChooserParts) {
     this.#parts = parts;
   }
 
   /**
-   * Chooses where a call goes.
+   * Returns where a call is sent next.
    *
    * @param exchange The call.
    * @param nowMs Time now.
@@ -78,15 +88,15 @@
     const own = this.#parts.fleet.self.region;
     const needs = toNeeds(exchange);
     const isForwarded = exchange.call.origin.kind === "instance";
-    const allowed = listAllowed(exchange, this.#parts.listRegions());
-    const here = allowed.includes(own)
+    const allowed = listAllowedRegions(exchange, this.#parts.listRegions());
+    const local = allowed.includes(own)
       ? this.#parts.servers.choose(needs, own, nowMs)
       : undefined;
-    const marginMs = AWAY_MARGIN * exchange.route.targetMs;
-    // Nobody there can be cheaper than the way: looking at each server would be for nothing.
+    const marginMs = REMOTE_MARGIN_FRACTION * exchange.route.targetMs;
+    // The round trip alone costs more than the local server: no server there can be cheaper.
     const isTooFar = (region: RegionId) =>
-      here !== undefined &&
-      here.costMs <=
+      local !== undefined &&
+      local.costMs <=
         this.readRoundTripMs(region) - FIRST_RANK_BONUS_MS + marginMs;
     const others = isForwarded
       ? []
@@ -94,25 +104,25 @@
         region !== own && !exchange.avoidedRegions.has(region) &&
         !isTooFar(region)
       );
-    const away = this.#chooseAway(exchange, needs, others, nowMs);
-    if (here === undefined && away === undefined) {
+    const remote = this.#chooseRemote(exchange, needs, others, nowMs);
+    if (local === undefined && remote === undefined) {
       const reachable = isForwarded
         ? allowed.filter((region) => region === own)
         : allowed;
       return this.#explain(exchange, reachable, nowMs);
     }
-    const staysHere = here !== undefined &&
-      (away === undefined ||
-        here.costMs <= away.candidate.costMs + marginMs);
-    return staysHere ? { kind: "here", candidate: here! } : away!;
+    const staysLocal = local !== undefined &&
+      (remote === undefined ||
+        local.costMs <= remote.candidate.costMs + marginMs);
+    return staysLocal ? { kind: "here", candidate: local! } : remote!;
   }
 
-  /** Returns how long the way to another region and back takes, in milliseconds. */
+  /** Returns the mean round trip to another region, in milliseconds. */
   readRoundTripMs(region: RegionId): number {
     return this.#roundTripMs.get(region) ?? INITIAL_ROUND_TRIP_MS;
   }
 
-  /** Learns how long the way to another region and back takes. */
+  /** Records a measured round trip to another region, in milliseconds. */
   recordRoundTrip(region: RegionId, roundTripMs: number): void {
     const known = this.readRoundTripMs(region);
     this.#roundTripMs.set(
@@ -121,13 +131,16 @@
     );
   }
 
-  /** Counts a call that sets out to another region, or with a negative number has arrived. */
+  /**
+   * Adds the prompt tokens of a call that is sent to another region. A negative number
+   * takes them off again when the call has arrived.
+   */
   addUnderWay(region: RegionId, tokens: number): void {
-    const sum = (this.#tokensUnderWay.get(region) ?? 0) + tokens;
-    this.#tokensUnderWay.set(region, Math.max(0, sum));
+    const sum = (this.#tokensInTransit.get(region) ?? 0) + tokens;
+    this.#tokensInTransit.set(region, Math.max(0, sum));
   }
 
-  #chooseAway(
+  #chooseRemote(
     exchange: Exchange,
     needs: CallNeeds,
     regions: readonly RegionId[],
@@ -136,8 +149,8 @@
     const { fleet, random, servers } = this.#parts;
     const options = regions.flatMap((region) => {
       const candidate = servers.choose(needs, region, nowMs, {
-        extraTokens: this.#tokensUnderWay.get(region) ?? 0,
-        wayMs: this.readRoundTripMs(region),
+        extraTokens: this.#tokensInTransit.get(region) ?? 0,
+        roundTripMs: this.readRoundTripMs(region),
       });
       if (candidate === undefined) return [];
       const members = fleet.listFresh(region, nowMs)
@@ -149,37 +162,44 @@
     return options.sort((a, b) => a.candidate.costMs - b.candidate.costMs)[0];
   }
 
-  /** Says why no server gets a call now. */
+  /** Returns why no server can take a call now. */
   #explain(
     { service, tried }: Exchange,
     regions: readonly RegionId[],
     nowMs: number,
   ): NoPlace {
-    const open = regions.flatMap((region) =>
-      this.#parts.servers.listOpen(service.name, region, nowMs)
+    const eligible = regions.flatMap((region) =>
+      this.#parts.servers.listEligible(service.name, region, nowMs)
     );
-    const untried = open.filter(({ id }) => !tried.has(id));
-    if (open.length === 0) return { kind: "nowhere" };
+    const untried = eligible.filter(({ id }) => !tried.has(id));
+    if (eligible.length === 0) return { kind: "no-server" };
     if (untried.length === 0) {
-      return { kind: "tried", untilMs: findFirstRestEndMs(open) };
+      return { kind: "tried", untilMs: findFirstCooldownEndMs(eligible) };
     }
-    const rested = untried.filter(({ restsUntilMs }) => restsUntilMs <= nowMs);
-    if (rested.length === 0) {
-      return { kind: "rest", untilMs: findFirstRestEndMs(untried) };
+    const ready = untried.filter(({ cooldownUntilMs }) =>
+      cooldownUntilMs <= nowMs
+    );
+    if (ready.length === 0) {
+      return { kind: "cooling-down", untilMs: findFirstCooldownEndMs(untried) };
     }
     const untilMs = Math.min(
-      ...rested.map(({ limitedUntilMs }) => limitedUntilMs),
+      ...ready.map(({ limitedUntilMs }) => limitedUntilMs),
     );
-    return untilMs > nowMs ? { kind: "limited", untilMs } : { kind: "wait" };
+    return untilMs > nowMs
+      ? { kind: "rate-limited", untilMs }
+      : { kind: "wait" };
   }
 }
 
-function findFirstRestEndMs(servers: readonly OpenServer[]): number {
-  return Math.min(...servers.map(({ restsUntilMs }) => restsUntilMs));
+function findFirstCooldownEndMs(servers: readonly EligibleServer[]): number {
+  return Math.min(...servers.map(({ cooldownUntilMs }) => cooldownUntilMs));
 }
 
-/** Regions that may serve a call: homes of both its route and its team, or all. */
-function listAllowed(
+/**
+ * Returns the regions that may serve a call: the home regions of both its route and
+ * its team, where these have any, or else all.
+ */
+function listAllowedRegions(
   { access, route }: Exchange,
   regions: readonly RegionId[],
 ): readonly RegionId[] {
@@ -189,7 +209,8 @@
 }
 
 function toNeeds(exchange: Exchange): CallNeeds {
-  const { facts, leastGapMs, parts, route, service, tried } = exchange;
+  const { facts, leastGapMs: maxTokenGapMs, parts, route, service, tried } =
+    exchange;
   return {
     service,
     route: route.name,
@@ -197,7 +218,7 @@
     promptTokens: facts.prompt?.promptTokens ?? 0,
     maxOutputTokens: facts.prompt?.maxOutputTokens ?? 0,
     targetMs: route.targetMs,
-    leastGapMs,
+    maxTokenGapMs,
     tried,
   };
 }
--- a/forwarding/limit_gate_test.ts
+++ b/forwarding/limit_gate_test.ts
@@ -15,7 +15,7 @@
 const SERVER = toBackendId("s1");
 const WINDOW_MS = 4_000;
 
-/** A gate whose members and limit can be changed. */
+/** Creates a gate whose members and limit can be changed. */
 function createGate(
   self: InstanceId,
   known: readonly InstanceId[],
@@ -29,7 +29,7 @@
   return { gate: new LimitGate({ fleet, limits }), fleet, name };
 }
 
-/** Plays calls that arrive at instances, and returns when calls were sent. */
+/** Plays arrivals of calls at instances, and returns the times at which calls were sent. */
 function play(
   gates: readonly LimitGate[],
   arrivals: readonly { readonly atMs: number; readonly instance: number }[],
@@ -42,14 +42,14 @@
   });
 }
 
-function countBorne(perSecond: number): number {
+function countTolerated(perSecond: number): number {
   return 1.5 * perSecond * WINDOW_MS / 1_000 + 5;
 }
 
-/** Arrivals over ten seconds, with a rush in the middle at every instance. */
+/** Creates arrivals over ten seconds, with a burst in the middle at every instance. */
 function createArrivals(instances: number, seed: number) {
   const random = createRandom(seed);
-  const rush = Array.from({ length: 8 * instances }, (_, at) => ({
+  const burst = Array.from({ length: 8 * instances }, (_, at) => ({
     atMs: 6_000,
     instance: at,
   }));
@@ -57,12 +57,12 @@
     atMs: 1_000 + index * 5,
     instance: Math.floor(random.nextFloat() * instances),
   }));
-  return [...rush, ...steady].sort((a, b) => a.atMs - b.atMs);
+  return [...burst, ...steady].sort((a, b) => a.atMs - b.atMs);
 }
 
 describe("LimitGate", () => {
   describe("when 1 to 60 instances have calls for one server", () => {
-    it("keeps their sum inside what it bears, though some miss one member", () => {
+    it("keeps the sum of calls within what the server tolerates, even if some do not know one member", () => {
       const inputs = fc.record({
         perSecond: fc.double({ min: 0, max: 60, noNaN: true }),
         instances: fc.integer({ min: 1, max: 60 }),
@@ -80,13 +80,15 @@
             return createGate(self, known, perSecond).gate;
           });
           const sentMs = play(gates, createArrivals(instances, seed));
-          assert.ok(countMostSends(sentMs, WINDOW_MS) <= countBorne(perSecond));
+          assert.ok(
+            countMostSends(sentMs, WINDOW_MS) <= countTolerated(perSecond),
+          );
         }),
         { numRuns: 200, seed: 20_261_203 },
       );
     });
 
-    it("uses three quarters of the limit and more, where calls are many", () => {
+    it("uses at least three quarters of the limit when there are enough calls", () => {
       [[1, 0.5], [1, 20], [2, 20], [3, 2.6], [3, 30], [12, 0.8], [40, 5]]
         .forEach(([instances, perSecond]) => {
           const all = Array.from(
@@ -102,12 +104,14 @@
           }));
           const sentMs = play(gates, arrivals);
           assert.ok(sentMs.length >= 0.75 * perSecond! * 20);
-          assert.ok(sentMs.length <= perSecond! * 20 + countBorne(perSecond!));
+          assert.ok(
+            sentMs.length <= perSecond! * 20 + countTolerated(perSecond!),
+          );
         });
     });
   });
 
-  it("lets a call through now and then though the server takes none, to hear of its end", () => {
+  it("admits a call now and then at a limit of 0, so that an answer can report its end", () => {
     const { gate } = createGate(toMemberName(0), [toMemberName(0)], 0);
     const arrivals = Array.from({ length: 600 }, (_, at) => ({
       atMs: 1_000 + 100 * at,
@@ -117,7 +121,7 @@
     assert.ok(sentMs.length >= 5 && sentMs.length <= 8);
   });
 
-  it("is closed until the members are known", () => {
+  it("is closed until the members of the region are known", () => {
     const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 10);
     fleet.isSettledNow = false;
     assert.equal(gate.isOpen(SERVER, 1_000), false);
@@ -125,7 +129,7 @@
     assert.equal(gate.isOpen(SERVER, 1_000), true);
   });
 
-  it("shares anew when the members change", () => {
+  it("computes the share again when the members change", () => {
     const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
     assert.equal(gate.isOpen(SERVER, 1_000), true);
     fleet.known = Array.from({ length: 200 }, (_, at) => toMemberName(at));
@@ -133,22 +137,30 @@
     assert.equal(gate.isOpen(SERVER, 1_000), false);
   });
 
-  it("does not save up calls for a limit that falls", () => {
-    const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 40);
+  it("does not carry unused calls of a high limit over to a lower one", () => {
+    const { gate, name } = createGate(
+      toMemberName(0),
+      [toMemberName(0)],
+      40,
+    );
     gate.isOpen(SERVER, 0);
     name(1, 10_000);
-    const rush = Array.from({ length: 100 }, () => ({
+    const burst = Array.from({ length: 100 }, () => ({
       atMs: 10_001,
       instance: 0,
     }));
-    assert.ok(play([gate], rush).length <= countBorne(1) / 2);
+    assert.ok(play([gate], burst).length <= countTolerated(1) / 2);
   });
 
-  it("is open to a server that names no limit any more", () => {
-    const { gate, name } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
+  it("is open for a server that no longer advertises a limit", () => {
+    const { gate, name } = createGate(
+      toMemberName(0),
+      [toMemberName(0)],
+      0.2,
+    );
     gate.record(SERVER, 1_000);
     assert.equal(gate.isOpen(SERVER, 1_000), false);
     name(undefined, 1_001);
-    assert.equal(gate.readOpensMs(SERVER, 1_002), 0);
+    assert.equal(gate.readOpensAtMs(SERVER, 1_002), 0);
   });
 });
--- a/forwarding/no_room.ts
+++ b/forwarding/no_room.ts
@@ -6,35 +6,36 @@
 import { NO_ROOM_RETRY_MS } from "./settle_attempt.ts";
 
 /**
- * Whether a call that goes nowhere now need not wait: a server that rests for longer
- * than it may, whose limit is used up, or that had it, does not take it.
+ * Returns whether it is futile to let a call wait that has no destination now. No server
+ * will take the call in time where the first cool-down ends after its maximum wait, where
+ * the rate limits are used up, or where each server had the call before.
  *
- * @param place Why it goes nowhere.
+ * @param place Why the call has no destination.
  * @param nowMs Time now.
- * @param patienceMs How long it may wait, in milliseconds.
+ * @param maxWaitMs How long the call may still wait, in milliseconds.
  */
 export function isHopeless(
   place: NoPlace,
   nowMs: number,
-  patienceMs: number,
+  maxWaitMs: number,
 ): boolean {
   switch (place.kind) {
     case "wait":
-    case "nowhere":
-      return patienceMs <= 0;
-    case "rest":
-      return place.untilMs - nowMs > patienceMs;
-    case "limited":
+    case "no-server":
+      return maxWaitMs <= 0;
+    case "cooling-down":
+      return place.untilMs - nowMs > maxWaitMs;
+    case "rate-limited":
     case "tried":
       return true;
   }
 }
 
 /**
- * Returns the refusal of a call that no server may get now.
+ * Returns the refusal of a call that no server can take now.
  *
- * @param service Which it is for.
- * @param place Why it goes nowhere.
+ * @param service Name of the service that the call is for.
+ * @param place Why the call has no destination.
  * @param nowMs Time now.
  */
 export function toNoRoomRefusal(
@@ -45,28 +46,28 @@
   const comeBackMs = "untilMs" in place ? place.untilMs - nowMs : 0;
   return {
     reason: "no-room",
-    message: describeNoRoom(service, place.kind),
+    message: describeNoCapacity(service, place.kind),
     retryAfterMs: Math.max(NO_ROOM_RETRY_MS, comeBackMs),
   };
 }
 
-function describeNoRoom(service: string, kind: NoPlace["kind"]): string {
+function describeNoCapacity(service: string, kind: NoPlace["kind"]): string {
   switch (kind) {
     case "wait":
       return `Every server of "${service}" is full`;
-    case "nowhere":
+    case "no-server":
       return `No server of "${service}" may take the call`;
-    case "rest":
+    case "cooling-down":
       return `Every server of "${service}" has asked for rest`;
-    case "limited":
+    case "rate-limited":
       return `The limits of the servers of "${service}" are used up`;
     case "tried":
       return `Every server of "${service}" had the call`;
   }
 }
 
-/** What is known of servers. */
-export interface KnownOfServers {
+/** What the state of servers is described from. */
+export interface ServerStateSources {
   readonly fleet: Pick<FleetView, "self">;
   readonly loads: LoadBoard;
   readonly registry: ServerRegistry;
@@ -74,24 +75,28 @@
 }
 
 /**
- * Says of each server of the own region why it has no room, for the log.
+ * Returns a description of the load, the cool-down and the rate limit of each server of the
+ * local region, for the log: it shows why the server has no capacity. Times are in
+ * milliseconds from now.
  *
- * @param service Whose servers.
+ * @param service Name of the service whose servers are described.
  * @param nowMs Time now.
- * @param known What is known of them.
+ * @param known The instance, and the servers with their loads and what was learned of them.
  */
 export function describeServers(
   service: string,
   nowMs: number,
-  { fleet, learned: { health, limits }, loads, registry }: KnownOfServers,
+  { fleet, learned: { health, limits }, loads, registry }: ServerStateSources,
 ): string {
   const leftMs = (untilMs: number) => Math.max(0, Math.round(untilMs - nowMs));
   return registry.listUsable(service, fleet.self.region)
     .map(({ entry: { id }, coldUntilMs }) => {
-      const { calls, memoryTokens, pendingTokens } = loads.readTotal(id);
-      const restMs = leftMs(health.readRestsUntilMs(id));
+      const { calls, memoryTokens: memory, pendingTokens } = loads.readTotal(
+        id,
+      );
+      const cooldownMs = leftMs(health.readCooldownUntilMs(id));
       return `${id} calls=${calls} pending=${pendingTokens}` +
-        ` memory=${memoryTokens} cold=${leftMs(coldUntilMs)} rest=${restMs}` +
+        ` memory=${memory} cold=${leftMs(coldUntilMs)} cooldown=${cooldownMs}` +
         ` limit=${limits.read(id) ?? "none"}`;
     }).join("; ");
 }
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -8,85 +8,86 @@
 } from "../quarantine/mod.ts";
 import type { Refusal } from "./refusal.ts";
 
-/** What a guard is created from. */
+/** What a `QuarantineGuard` is created from. */
 export interface QuarantineGuardParts {
   readonly logger: Logger;
-  /** Keeps a refused call where instances that start later find it. Default: it is kept nowhere. */
+  /** Stores a quarantined call where instances that start later find it. Default: it isn't stored. */
   readonly keepRefusedCall?: ((ends: ReportedEnds) => void) | undefined;
 }
 
-/** A call that is being served, and how to end that. */
-interface UnderWay {
+/** A call that is being served, and a function that aborts it. */
+interface ActiveCall {
   readonly content: CallContent;
-  readonly giveUp: () => void;
+  readonly abort: () => void;
 }
 
-/** Keeps calls under which servers ended from further servers. */
+/** Keeps calls that crashed servers from being sent to more of them. */
 export class QuarantineGuard {
   readonly quarantine: CallQuarantine;
   readonly #parts: QuarantineGuardParts;
-  readonly #underWay = new Set<UnderWay>();
+  readonly #activeCalls = new Set<ActiveCall>();
 
-  /** @param parts Who is told of refused calls. */
+  /** @param parts Log and store for quarantined calls. */
   constructor(parts: QuarantineGuardParts) {
     this.#parts = parts;
     this.quarantine = new CallQuarantine({
-      onHeld: (held) => this.#hold(held),
+      onHeld: (quarantined) => this.#handleQuarantined(quarantined),
     });
   }
 
   /**
-   * Notes a call that is being served.
+   * Records a call that is being served.
    *
-   * @param content The call.
-   * @param giveUp Ends its sends.
-   * @returns To be called once it is served.
+   * @param content Content of the call.
+   * @param abort Aborts all sends of the call.
+   * @returns A function to call once the call has been served.
    */
-  begin(content: CallContent, giveUp: () => void): () => void {
-    const underWay = { content, giveUp };
-    this.#underWay.add(underWay);
-    return () => void this.#underWay.delete(underWay);
+  begin(content: CallContent, abort: () => void): () => void {
+    const activeCall = { content, abort };
+    this.#activeCalls.add(activeCall);
+    return () => void this.#activeCalls.delete(activeCall);
   }
 
   /**
-   * Returns why a call is sent to no server, or `undefined` where it may be. Asked
-   * before each send: others may have told of the call since the last one.
+   * Returns the refusal of a call that is quarantined, or `undefined`. It has to be
+   * checked before each send, as another instance may have reported the call since the
+   * last one.
    *
-   * @param content The call.
+   * @param content Content of the call.
    * @param nowMs Time now.
    */
   findRefusal(content: CallContent, nowMs: number): Refusal | undefined {
-    const heldMs = this.quarantine.readHeldMs(content, nowMs);
-    if (heldMs <= 0) return undefined;
+    const quarantinedMs = this.quarantine.readHeldMs(content, nowMs);
+    if (quarantinedMs <= 0) return undefined;
     return {
       reason: "quarantined",
       message: "Servers ended under this call",
-      retryAfterMs: heldMs,
+      retryAfterMs: quarantinedMs,
     };
   }
 
-  /** Keeps all refused calls once more: where they were kept has lost some. */
+  /** Stores all quarantined calls again, after the store has lost some. */
   keepAgain(nowMs: number): void {
     const { heldCount } = this.quarantine;
     this.quarantine.listHeldInTurn(heldCount, nowMs)
       .forEach((ends) => this.#parts.keepRefusedCall?.(ends));
   }
 
-  #hold(held: HeldCall): void {
+  #handleQuarantined(quarantined: HeldCall): void {
     const { keepRefusedCall, logger } = this.#parts;
-    const { call, isSeenHere, servers } = held;
+    const { call, isSeenHere, servers } = quarantined;
     logger.warn("call quarantined", {
       content: call,
       servers: servers.join(" "),
       isSeenHere,
     });
-    this.#takeBack(call);
-    if (isSeenHere) keepRefusedCall?.(held);
+    this.#abortCopies(call);
+    if (isSeenHere) keepRefusedCall?.(quarantined);
   }
 
-  /** A copy of the call that waits at a server ends it when it begins to run there. */
-  #takeBack(call: CallFingerprint): void {
-    [...this.#underWay].filter(({ content }) => content.fingerprint === call)
-      .forEach(({ giveUp }) => giveUp());
+  /** Aborts all copies of a call: one that waits at a server would crash it when it begins to run. */
+  #abortCopies(call: CallFingerprint): void {
+    [...this.#activeCalls].filter(({ content }) => content.fingerprint === call)
+      .forEach(({ abort }) => abort());
   }
 }
--- a/forwarding/warm_up_gate.ts
+++ b/forwarding/warm_up_gate.ts
@@ -3,29 +3,30 @@
 import { rankNames } from "../membership/mod.ts";
 import { forgetOthers } from "./forget_others.ts";
 
-/** What a cold server bears in any second, from all instances together. */
+/** Number of calls that a cold server tolerates in any second, from all instances together. */
 export interface WarmUpBounds {
-  /** Factor on the calls a second that its service declares. */
+  /** Factor on the warm-up rate that its service declares, in calls a second. */
   readonly overshoot: number;
-  /** Calls beside those. */
+  /** Calls in addition to those. */
   readonly slack: number;
 }
 
 /**
- * Part of the declared rate that is used. The rest of the bound is for sharers
- * whose calls fall into the same instant, and for views that differ.
+ * Fraction of the declared rate that is used. The rest of the bound allows for
+ * designated senders that send at the same moment, and for differing views of the
+ * members.
  */
-const USED_PART = 0.8;
+const USED_FRACTION = 0.8;
 /**
- * Instances that may take themselves for sharers beside those that are: one
- * joins or is forgotten while the others do not know yet. Rendezvous ranks make
- * one change of the members change one sharer at the most.
+ * Additional instances that may consider themselves designated senders: one may have
+ * joined or been removed while others don't know of it yet. With rendezvous ranks, one
+ * change of the members changes at most one designated sender.
  */
-const UNKNOWN_SHARERS = 1;
+const UNKNOWN_SENDERS = 1;
 
-/** What a gate decides from. */
+/** What a `WarmUpGate` is created from. */
 export interface WarmUpGateParts {
-  /** Who shares the bound, as this instance sees it. */
+  /** The instances that share the bound, as this instance sees them. */
   readonly fleet: Pick<
     FleetView,
     "isSettled" | "listSharing" | "membershipVersion" | "self"
@@ -35,56 +36,56 @@
 
 interface Share {
   readonly membershipVersion: number;
-  /** Time between own calls, in milliseconds; `undefined`: others send them. */
-  readonly pauseMs: number | undefined;
+  /** Interval between own calls, in milliseconds; `undefined` where this instance is no designated sender. */
+  readonly intervalMs: number | undefined;
 }
 
 /**
- * Lets calls through to cold servers so that the sum over all instances stays
- * inside the bound, however many they are.
+ * Admits calls to cold servers, so that the sum over all instances stays within the
+ * bound, however many instances there are.
  *
- * A part of the bound for each instance would fall below one call a second in a
- * large region. So a cold server has a few sharers, the first instances of its
- * region by rendezvous rank; each spaces its calls evenly, and the others send it
- * nothing. What that guards against, in the load that the test plays: 20
- * instances with an equal part each send 20 calls in a second where 6.6 are borne.
+ * In a large region an equal share for each instance would be less than one call a
+ * second. A cold server therefore has a few designated senders, the first instances of
+ * its region by rendezvous rank. Each of them spaces its calls evenly, and the other
+ * instances send nothing. Without this, in the load that the test plays, 20 instances
+ * with equal shares send 20 calls in a second where the server tolerates 6.6.
  */
 export class WarmUpGate {
   readonly #parts: WarmUpGateParts;
   readonly #shares = new Map<BackendId, Share>();
   readonly #nextMs = new Map<BackendId, number>();
 
-  /** @param parts Members and bounds. */
+  /** @param parts The members of the region, and the bound for cold servers. */
   constructor(parts: WarmUpGateParts) {
     this.#parts = parts;
   }
 
   /**
-   * Whether a call may go to a cold server now.
+   * Returns whether a call may be sent to a cold server now.
    *
-   * @param server Which.
+   * @param server The server.
    * @param callsPerSecond Rate that its service declares.
    * @param nowMs Time now.
    */
   isOpen(server: BackendId, callsPerSecond: number, nowMs: number): boolean {
     if (!this.#parts.fleet.isSettled(nowMs)) return false;
-    const { pauseMs } = this.#readShare(server, callsPerSecond);
-    return pauseMs !== undefined && nowMs >= (this.#nextMs.get(server) ?? 0);
+    const { intervalMs } = this.#readShare(server, callsPerSecond);
+    return intervalMs !== undefined && nowMs >= (this.#nextMs.get(server) ?? 0);
   }
 
   /**
-   * Records a call to a cold server.
+   * Records a call that is sent to a cold server.
    *
-   * @param server Which.
+   * @param server The server.
    * @param callsPerSecond Rate that its service declares.
    * @param nowMs Time now.
    */
   record(server: BackendId, callsPerSecond: number, nowMs: number): void {
-    const { pauseMs } = this.#readShare(server, callsPerSecond);
-    this.#nextMs.set(server, nowMs + (pauseMs ?? 0));
+    const { intervalMs } = this.#readShare(server, callsPerSecond);
+    this.#nextMs.set(server, nowMs + (intervalMs ?? 0));
   }
 
-  /** Forgets servers that are gone. */
+  /** Removes the state of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
     forgetOthers(this.#shares, servers);
     forgetOthers(this.#nextMs, servers);
@@ -95,20 +96,20 @@
     const { membershipVersion, self } = fleet;
     const known = this.#shares.get(server);
     if (known?.membershipVersion === membershipVersion) return known;
-    const pauseMs = computePauseMs({
+    const intervalMs = computeIntervalMs({
       server,
       callsPerSecond,
       bounds,
       self: self.id,
       members: fleet.listSharing(self.region),
     });
-    const share = { membershipVersion, pauseMs };
+    const share = { membershipVersion, intervalMs };
     this.#shares.set(server, share);
     return share;
   }
 }
 
-function computePauseMs({ server, callsPerSecond, bounds, self, members }: {
+function computeIntervalMs({ server, callsPerSecond, bounds, self, members }: {
   readonly server: BackendId;
   readonly callsPerSecond: number;
   readonly bounds: WarmUpBounds;
@@ -117,27 +118,27 @@
 }): number | undefined {
   const count = Math.min(
     members.length,
-    countSharers(callsPerSecond, bounds),
+    countDesignatedSenders(callsPerSecond, bounds),
   );
-  const sharers = rankNames(server, members).slice(0, count);
-  if (!sharers.includes(self)) return undefined;
-  return 1_000 * count / (USED_PART * callsPerSecond);
+  const senders = rankNames(server, members).slice(0, count);
+  if (!senders.includes(self)) return undefined;
+  return 1_000 * count / (USED_FRACTION * callsPerSecond);
 }
 
 /**
- * Returns how many instances may share a cold server: the most whose evenly
- * spaced calls stay inside the bound, with one more that takes itself for one.
- * Any second holds the share of each and one call more.
+ * Returns the maximum number of designated senders whose evenly spaced calls stay within
+ * the bound, even if one more instance considers itself one. In any second, each sends
+ * at most its share and one call more.
  */
-function countSharers(
+function countDesignatedSenders(
   callsPerSecond: number,
   { overshoot, slack }: WarmUpBounds,
 ): number {
   const bound = overshoot * callsPerSecond + slack;
-  const countCalls = (sharers: number) =>
-    (sharers + UNKNOWN_SHARERS) *
-    (USED_PART * callsPerSecond / sharers + 1);
-  let sharers = 1;
-  while (countCalls(sharers + 1) <= bound) sharers++;
-  return sharers;
+  const countCalls = (senders: number) =>
+    (senders + UNKNOWN_SENDERS) *
+    (USED_FRACTION * callsPerSecond / senders + 1);
+  let senders = 1;
+  while (countCalls(senders + 1) <= bound) senders++;
+  return senders;
 }
