--- a/directory/answer_recorder.ts
+++ b/directory/answer_recorder.ts
@@ -4,32 +4,32 @@
 import type { EntryAnswer, EntryChoice } from "./pick_entries.ts";
 
 /**
- * Pairs of a caller's region and a host whose last answer is remembered at the most:
- * callers choose the names, and memory must stay bounded.
+ * Maximum number of pairs of a caller's region and a host whose last answer is
+ * remembered. Callers choose both names, so that memory needs a bound.
  */
 const MAX_REMEMBERED = 1_024;
 
-/** An answer with what decided it. */
+/** An answer given to a caller, with the facts that determined it. */
 export interface GivenAnswer extends EntryAnswer {
   /** Region of the caller. */
   readonly region: RegionId;
-  /** Which host it wants to call. */
+  /** Host that the caller asked for. */
   readonly host: string;
   /** Version of the configuration in force; 0: none. */
   readonly configurationVersion: number;
-  /** Returns who is known to run, for the log. */
+  /** Returns the known instances as text for the log. */
   readonly describeMembers: () => string;
 }
 
-/** Where answers are told. */
+/** What an {@linkcode AnswerRecorder} writes to. */
 export interface AnswerRecorderParts {
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
 /**
- * Counts what callers are told, and logs it whenever it changes for the callers of
- * a region and a host: one line for many equal answers.
+ * Counts the directory's answers, and logs an answer only if its choice differs from
+ * that of the last answer for the same region and host.
  */
 export class AnswerRecorder {
   readonly #parts: AnswerRecorderParts;
@@ -40,7 +40,7 @@
     this.#parts = parts;
   }
 
-  /** Takes an answer that was given. */
+  /** Counts an answer that was given, and logs it if its choice has changed. */
   record(given: GivenAnswer): void {
     const { choice, configurationVersion, entries, host, region } = given;
     const { logger, metrics } = this.#parts;
--- a/directory/answer_recorder_test.ts
+++ b/directory/answer_recorder_test.ts
@@ -6,7 +6,7 @@
 import { AnswerRecorder } from "./answer_recorder.ts";
 import type { EntryChoice } from "./pick_entries.ts";
 
-/** A recorder, and what it counted and logged. */
+/** Creates a recorder, and lists of what it counts and logs. */
 function start() {
   const counted: string[] = [];
   const logged: string[] = [];
@@ -36,7 +36,7 @@
 }
 
 describe("AnswerRecorder", () => {
-  it("counts each answer and logs changes only", () => {
+  it("counts each answer and logs only changes", () => {
     const { counted, logged, record } = start();
     (["near", "near", "home", "home", "near"] as const)
       .forEach((choice) => record(choice));
@@ -47,7 +47,7 @@
     ]);
   });
 
-  it("keeps hosts apart", () => {
+  it("tracks each host on its own", () => {
     const { logged, record } = start();
     record("home", "a.example");
     record("home", "b.example");
@@ -55,7 +55,7 @@
     assert.equal(logged.length, 2);
   });
 
-  it("remembers a bounded number of hosts", () => {
+  it("remembers the last answer for a bounded number of hosts", () => {
     const { logged, record } = start();
     Array.from({ length: 3_000 }, (_, at) => record("none", `${at}.example`));
     assert.equal(logged.length, 3_000);
--- a/directory/mod.ts
+++ b/directory/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which instances callers are told to connect to, and the record of it.
+ * Chooses the instances that callers connect to, and counts and logs the choices.
  *
  * @example
  * ```ts
--- a/directory/pick_entries.ts
+++ b/directory/pick_entries.ts
@@ -2,21 +2,27 @@
 import type { HostHomes } from "../http_routes/mod.ts";
 import type { RegionId } from "../ids/mod.ts";
 
-/** Most entries that one answer names. */
+/** Maximum number of entries in one answer. */
 const MAX_ENTRIES = 64;
 
 /** Who asks where to connect. */
 export interface EntryRequest {
   /** Region of the caller. */
   readonly region: RegionId;
-  /** Returns where callers of the wanted host may be led. */
+  /** Returns the regions to which callers of the requested host may be directed. */
   readonly findHomes: () => HostHomes;
 }
 
 /**
- * Where the instances that an answer names are: in the caller's region, where all of
- * its calls may be served, where nearly all may be served, at the first two but about
- * to leave, in any region, or nowhere.
+ * Which instances an answer names:
+ *
+ * - `near`: ready instances of the caller's region.
+ * - `home`: ready instances of regions that may serve all calls of the host.
+ * - `usual`: ready instances of regions that may serve nearly all calls of the host.
+ * - `leaving`: instances in graceful shutdown that still accept calls, of the caller's
+ *   region and of regions that may serve all calls of the host.
+ * - `elsewhere`: ready instances of any region.
+ * - `none`: no instance.
  */
 export type EntryChoice =
   | "near"
@@ -26,71 +32,77 @@
   | "elsewhere"
   | "none";
 
-/** What a caller is told. */
+/** The directory's answer to a caller. */
 export interface EntryAnswer {
   readonly choice: EntryChoice;
-  /** Instances that it may connect to. */
+  /** Instances that the caller may connect to. */
   readonly entries: readonly MemberRecord[];
-  /** How long it may use the answer, in milliseconds. */
+  /** How long the caller may use the answer, in milliseconds. */
   readonly ttlMs: number;
 }
 
-/** How long callers use an answer, in milliseconds: gone instances are left soon. */
+/**
+ * How long callers may use an answer, in milliseconds. The time is short so that
+ * callers soon stop connecting to dead instances.
+ */
 const TTL_MS = 2_000;
 /**
- * How long callers use an answer that names instances that leave, in milliseconds.
- * These take every call for 2.5 s only, and whoever asks again may find one that is
- * back: while instances of small regions were restarted in turn (one day, one play
- * each), callers were served 0.938 of what they were owed, with the longer time 0.904.
+ * How long callers may use an answer that names instances in graceful shutdown, in
+ * milliseconds. Such instances accept all calls for 2.5 s only, and a caller that asks
+ * again may get an instance that has restarted. When instances of small regions were
+ * restarted one after another (one scenario, one run with each value), callers were
+ * served 0.938 of what they were owed, against 0.904 with the longer time.
  */
 const LEAVING_TTL_MS = 500;
 
 /**
- * Returns the instances that a caller may connect to: those of its region. If none
- * there takes calls, as when all of a region are restarted in turn, calls that are
- * bound to no region may go to any other.
+ * Returns the instances that a caller may connect to: the ready instances of its
+ * region. If that region has none, as when all of its instances are restarted one after
+ * another, calls without home regions may go to any other region.
  *
- * Bound calls must not even be sent elsewhere: where all of their homes were restarted
- * within seconds, up to 254 of 1,350 went to a region that is none of them. One answer
- * serves all calls of a host, so that a host with bound calls gets their homes, then
- * those of nearly all, then instances that leave and still take calls, then nobody,
- * though others could serve some of its calls.
+ * Calls with home regions must not even be sent to another region: when all instances
+ * of their home regions were restarted within seconds, up to 254 of 1,350 such calls
+ * went to a region that is not one of their homes. One answer serves all calls of a
+ * host. A host that has calls with home regions therefore gets the regions that may
+ * serve all of its calls, then those that may serve nearly all, then instances in
+ * graceful shutdown that still accept calls, and otherwise an empty answer, although
+ * other regions could serve some of its calls.
  *
- * @param fleet Who runs where.
- * @param request Who asks.
- * @param nowMs Time now.
+ * @param fleet Known instances and their states.
+ * @param request Region of the caller, and the home regions of the host.
+ * @param nowMs Current time, in milliseconds.
  */
 export function pickEntries(
   fleet: FleetView,
   request: EntryRequest,
   nowMs: number,
 ): EntryAnswer {
-  const listIn = (regions: readonly RegionId[]) =>
+  const listReadyIn = (regions: readonly RegionId[]) =>
     regions.flatMap((region) => fleet.listReady(region, nowMs));
   const listLeaving = (regions: readonly RegionId[]) =>
     [...new Set([request.region, ...regions])]
       .flatMap((region) => fleet.listLeaving(region, nowMs));
-  const near = listIn([request.region]);
-  if (near.length > 0) return pickFirst([{ choice: "near", entries: near }]);
+  const local = listReadyIn([request.region]);
+  if (local.length > 0) return pickFirst([{ choice: "near", entries: local }]);
   const homes = request.findHomes();
   switch (homes.kind) {
     case "unknown":
       return pickFirst([{ choice: "leaving", entries: listLeaving([]) }]);
     case "anywhere":
       return pickFirst([
-        { choice: "elsewhere", entries: listIn(fleet.listRegions()) },
+        { choice: "elsewhere", entries: listReadyIn(fleet.listRegions()) },
         { choice: "leaving", entries: listLeaving(fleet.listRegions()) },
       ]);
     case "bound":
       return pickFirst([
-        { choice: "home", entries: listIn(homes.regions) },
-        { choice: "usual", entries: listIn(homes.usual) },
+        { choice: "home", entries: listReadyIn(homes.regions) },
+        { choice: "usual", entries: listReadyIn(homes.usual) },
         { choice: "leaving", entries: listLeaving(homes.regions) },
       ]);
   }
 }
 
-/** Returns the first answer that names an instance. */
+/** Returns the first answer that names an instance, or `none` if there is no such answer. */
 function pickFirst(
   answers: readonly Pick<EntryAnswer, "choice" | "entries">[],
 ): EntryAnswer {
--- a/directory/pick_entries_property_test.ts
+++ b/directory/pick_entries_property_test.ts
@@ -16,17 +16,17 @@
   "leaving",
   "lingering",
 ];
-const MOST_CALLS = 100;
-/** Part of the calls with homes that an answer may lead away from them. */
-const STRAYING_PART = 1 / 20;
+const MAX_CALLS = 100;
+/** Maximum fraction of calls with home regions that an answer may direct to other regions. */
+const MAX_OUTSIDE_HOME_FRACTION = 1 / 20;
 
-/** A route of the host: its homes, none where it is bound to no region, and its calls lately. */
+/** A route of the host: its home regions (`undefined`: any region) and its recent calls. */
 interface UsedRoute {
   readonly homes: readonly string[] | undefined;
   readonly calls: number;
 }
 
-/** Members of the fleet, the routes of a host, and where a caller of it is. */
+/** Members of the fleet, the routes of a host, and the region of a caller. */
 interface Situation {
   readonly members: readonly (readonly [region: string, state: MemberState])[];
   readonly routes: readonly UsedRoute[];
@@ -42,14 +42,14 @@
   routes: fc.array(
     fc.record({
       homes: fc.option(fc.uniqueArray(anyRegion), { nil: undefined }),
-      calls: fc.nat({ max: MOST_CALLS }),
+      calls: fc.nat({ max: MAX_CALLS }),
     }),
     { maxLength: 6 },
   ),
   caller: anyRegion,
 });
 
-/** Answers a caller; the first member of the list does. */
+/** Returns the answer that the first member of the list gives to the caller. */
 function answer({ caller, members, routes }: Situation): EntryAnswer {
   const [own, ...others] = members;
   const [ownRegion, ownState] = own!;
@@ -74,31 +74,31 @@
   return routes.reduce((sum, { calls }) => sum + calls, 0);
 }
 
-/** Whether calls of the host may be led to a region that is not the caller's. */
-function mayLead(routes: readonly UsedRoute[], region: string): boolean {
-  // Of a host that is not known any call may be bound.
+/** Returns whether calls of the host may be directed to a region that is not the caller's. */
+function mayDirect(routes: readonly UsedRoute[], region: string): boolean {
+  // Any call of an unknown host may have home regions.
   if (routes.length === 0) return false;
   const bound = routes.filter(({ homes }) => homes !== undefined);
-  const straying = bound.filter(({ homes }) => !homes!.includes(region));
-  return straying.length === 0 ||
-    sumCalls(straying) <= STRAYING_PART * sumCalls(bound) &&
+  const excluding = bound.filter(({ homes }) => !homes!.includes(region));
+  return excluding.length === 0 ||
+    sumCalls(excluding) <= MAX_OUTSIDE_HOME_FRACTION * sumCalls(bound) &&
       sumCalls(bound) > 0;
 }
 
-describe("pickEntries(), whatever runs and whatever a host's calls are bound to", () => {
-  it("leads no more than one in twenty bound calls away from their homes", () => {
+describe("pickEntries(), for any instances and any home regions of a host's calls", () => {
+  it("directs at most one in twenty calls with home regions to other regions", () => {
     fc.assert(
       fc.property(anySituation, (situation) => {
         const { caller, routes } = situation;
         answer(situation).entries.forEach(({ region }) =>
-          assert.ok(region === caller || mayLead(routes, region), region)
+          assert.ok(region === caller || mayDirect(routes, region), region)
         );
       }),
       { seed: 20_261_203, numRuns: 2_000 },
     );
   });
 
-  it("names those of the caller's region alone while one of them is ready", () => {
+  it("names only instances of the caller's region while one of them is ready", () => {
     fc.assert(
       fc.property(anySituation, (situation) => {
         const { caller, members } = situation;
@@ -114,7 +114,7 @@
     );
   });
 
-  it("names somebody while any instance that may serve all of the host's calls takes some", () => {
+  it("names an instance while one that may serve all of the host's calls accepts any call", () => {
     fc.assert(
       fc.property(anySituation, (situation) => {
         const { members, routes } = situation;
--- a/directory/pick_entries_test.ts
+++ b/directory/pick_entries_test.ts
@@ -13,16 +13,16 @@
   ReturnType<typeof toRegionId>,
 ];
 
-/** When instances that left at the start no longer take calls, in milliseconds. */
-const LATER_MS = 2_600;
+/** Time at which instances that began to shut down at 0 no longer accept calls, in milliseconds. */
+const DRAINED_MS = 2_600;
 
-/** One instance in each of three regions; that of the west answers. */
+/** Creates one instance in each of three regions; that of the west region answers. */
 function startAnswering(states: Partial<Record<string, MemberState>>) {
   const createOne = (region: string) => createMember(`${region}-1`, region);
   const fleet = createFleet(createOne("west"));
   fleet.setState(states.west ?? "ready");
-  // They are heard at the start, and once more when those that leave have for a while.
-  [0, LATER_MS].forEach((atMs, sequence) =>
+  // Reports arrive at 0, and again once instances in graceful shutdown accept no more calls.
+  [0, DRAINED_MS].forEach((atMs, sequence) =>
     ["north", "south"].forEach((region) =>
       fleet.applyReport(
         createReport(
@@ -39,10 +39,10 @@
   };
 }
 
-/** The same, of whose answers only the names count. */
+/** Does the same, but returns only the ids of the named instances. */
 function start(states: Partial<Record<string, MemberState>>) {
   const { pickAnswer } = startAnswering(states);
-  return (region: typeof NORTH, homes: HostHomes, nowMs = LATER_MS) =>
+  return (region: typeof NORTH, homes: HostHomes, nowMs = DRAINED_MS) =>
     pickAnswer(region, homes, nowMs).entries.map(({ id }) => id);
 }
 
@@ -54,19 +54,19 @@
 };
 
 describe("pickEntries()", () => {
-  it("names the instances of the caller's region, wherever its data may be", () => {
+  it("names the instances of the caller's region, whatever the home regions of its calls", () => {
     const pick = start({});
     assert.deepEqual(pick(NORTH, ANYWHERE), ["north-1"]);
     assert.deepEqual(pick(WEST, IN_NORTH_OR_SOUTH), ["west-1"]);
   });
 
-  describe("when no instance of the caller's region takes calls", () => {
-    it("names those where its data may be, and no others", () => {
+  describe("when no instance of the caller's region accepts calls", () => {
+    it("names only instances of the home regions", () => {
       const pick = start({ north: "leaving" });
       assert.deepEqual(pick(NORTH, IN_NORTH_OR_SOUTH), ["south-1"]);
     });
 
-    it("names all others where its data is bound to no region", () => {
+    it("names all other instances if its calls have no home regions", () => {
       const pick = start({ north: "leaving" });
       assert.deepEqual([...pick(NORTH, ANYWHERE)].sort(), [
         "south-1",
@@ -74,19 +74,19 @@
       ]);
     });
 
-    it("names those at home that have just begun to leave, before any other", () => {
+    it("prefers instances of the home regions that have just begun to shut down to any other region", () => {
       const pick = start({ north: "leaving", south: "leaving" });
       const both = ["north-1", "south-1"];
       assert.deepEqual(pick(NORTH, IN_NORTH_OR_SOUTH, 1_000), both);
       assert.deepEqual(pick(NORTH, ANYWHERE, 1_000), ["west-1"]);
     });
 
-    it("names none where none takes calls at home either", () => {
+    it("names none if no instance of the home regions accepts calls either", () => {
       const pick = start({ north: "leaving", south: "leaving" });
       assert.deepEqual(pick(NORTH, IN_NORTH_OR_SOUTH), []);
     });
 
-    it("names those where nearly all of its calls may be served, before those that leave", () => {
+    it("prefers regions that may serve nearly all of its calls to instances in graceful shutdown", () => {
       const homes: HostHomes = { kind: "bound", regions: [], usual: [SOUTH] };
       const pick = start({ north: "leaving" });
       assert.deepEqual(pick(NORTH, homes, 1_000), ["south-1"]);
@@ -94,7 +94,7 @@
       assert.deepEqual(pickLeaving(NORTH, homes, 1_000), ["north-1"]);
     });
 
-    it("lets an answer that names those that leave count for a shorter time", () => {
+    it("gives a shorter lifetime to an answer that names instances in graceful shutdown", () => {
       const { pickAnswer } = startAnswering({
         north: "leaving",
         south: "leaving",
@@ -105,13 +105,13 @@
       assert.ok(leaving.ttlMs <= near.ttlMs / 4);
     });
 
-    it("names only its own that leave where it is not known what its calls are bound to", () => {
+    it("names only leaving instances of the caller's region if the home regions are unknown", () => {
       const pick = start({ north: "leaving" });
       assert.deepEqual(pick(NORTH, { kind: "unknown" }, 1_000), ["north-1"]);
       assert.deepEqual(pick(NORTH, { kind: "unknown" }), []);
     });
 
-    it("names any that leave where none takes calls and nothing is bound", () => {
+    it("names any leaving instance if none is ready and the calls have no home regions", () => {
       const pick = start({
         north: "leaving",
         south: "leaving",
