--- a/http_routes/host_homes.ts
+++ b/http_routes/host_homes.ts
@@ -2,36 +2,40 @@
 import { type HttpRoute, mayServe } from "./http_route.ts";
 
 /**
- * Part of a host's calls with homes that may find themselves outside of them: the
- * users bear that one in twenty is led away.
+ * Maximum fraction of a host's calls with home regions that may be directed to other
+ * regions. Users accept one in twenty.
  */
-const STRAYING_PART = 0.05;
-/** Calls with homes from which on their parts are judged: below, one call is over that part. */
-const FEWEST_CALLS = 1 / STRAYING_PART;
+const MAX_OUTSIDE_HOME_FRACTION = 0.05;
+/**
+ * Minimum number of calls with home regions for which fractions are compared. With
+ * fewer calls, a single one exceeds the maximum fraction.
+ */
+const MIN_CALLS = 1 / MAX_OUTSIDE_HOME_FRACTION;
 
 /**
- * Where callers of a host may be led. A host has one answer for all of its calls, so
- * that the strictest of its routes counts. No homes and no home in common are
- * different things: calls of the one may go anywhere, of the other nowhere else.
+ * Regions to which callers of a host may be directed. All calls of a host get the same
+ * answer, so that the strictest of its routes decides. A host without home regions
+ * differs from a host whose routes have no home region in common: calls of the first
+ * may go to any region, calls of the second have no region that may serve all of them.
  */
 export type HostHomes =
-  /** No configuration in force has the host: any of its calls may be bound. */
+  /** The configuration in force lacks the host: any of its calls may have home regions. */
   | { readonly kind: "unknown" }
-  /** None of its calls is bound to a region. */
+  /** No route of the host has home regions. */
   | { readonly kind: "anywhere" }
   | {
     readonly kind: "bound";
-    /** Homes of each route that has homes. */
+    /** Regions that are a home of every route that has home regions. */
     readonly regions: readonly RegionId[];
-    /** Homes of nearly all calls with homes that came lately, beside those. */
+    /** Further regions, each a home of nearly all recent calls that have home regions. */
     readonly usual: readonly RegionId[];
   };
 
 /**
- * Returns where callers of a host may be led.
+ * Returns the regions to which callers of a host may be directed.
  *
  * @param routes All routes of the host.
- * @param countCalls Returns how many calls a route got here lately.
+ * @param countCalls Returns the number of recent calls of a route at this instance.
  */
 export function findHostHomes(
   routes: readonly HttpRoute[],
@@ -44,17 +48,17 @@
     ...new Set(bound.flatMap(({ homeRegions }) => homeRegions ?? [])),
   ];
   const counts = new Map(bound.map((route) => [route, countCalls(route)]));
-  const sumCalls = (some: readonly HttpRoute[]) =>
-    some.reduce((sum, route) => sum + counts.get(route)!, 0);
-  const listStraying = (region: RegionId) =>
+  const sumCalls = (subset: readonly HttpRoute[]) =>
+    subset.reduce((sum, route) => sum + counts.get(route)!, 0);
+  const listRoutesExcluding = (region: RegionId) =>
     bound.filter((route) => !mayServe(route, region));
   const total = sumCalls(bound);
-  const isUsual = (straying: readonly HttpRoute[]) =>
-    straying.length > 0 && total >= FEWEST_CALLS &&
-    sumCalls(straying) <= STRAYING_PART * total;
+  const isUsual = (excluding: readonly HttpRoute[]) =>
+    excluding.length > 0 && total >= MIN_CALLS &&
+    sumCalls(excluding) <= MAX_OUTSIDE_HOME_FRACTION * total;
   return {
     kind: "bound",
-    regions: homes.filter((region) => listStraying(region).length === 0),
-    usual: homes.filter((region) => isUsual(listStraying(region))),
+    regions: homes.filter((region) => listRoutesExcluding(region).length === 0),
+    usual: homes.filter((region) => isUsual(listRoutesExcluding(region))),
   };
 }
--- a/http_routes/host_homes_test.ts
+++ b/http_routes/host_homes_test.ts
@@ -4,7 +4,7 @@
 import { findHostHomes } from "./host_homes.ts";
 import type { HttpRoute } from "./http_route.ts";
 
-/** Finds the homes of a host whose routes have these homes and got so many calls. */
+/** Returns the homes of a host whose routes have the given home regions and numbers of calls. */
 function find(
   routes:
     readonly (readonly [homes: readonly string[] | undefined, calls: number])[],
@@ -19,7 +19,7 @@
 }
 
 describe("findHostHomes()", () => {
-  it("returns what all bound routes of a host have in common", () => {
+  it("returns the regions that all routes with home regions have in common", () => {
     assert.deepEqual(
       find([[["north", "south"], 0], [["south"], 0], [undefined, 0]]),
       {
@@ -30,13 +30,13 @@
     );
   });
 
-  it("takes a route that no region may serve for bound", () => {
+  it("returns no region if a route may be served in none", () => {
     const homes = { kind: "bound", regions: [], usual: [] };
     assert.deepEqual(find([[[], 0], [undefined, 0]]), homes);
     assert.deepEqual(find([[[], 0], [["north"], 0]]), homes);
   });
 
-  it("tells no homes, no home in common and no such host apart", () => {
+  it("distinguishes no home regions, none in common, and an unknown host", () => {
     assert.deepEqual(find([[undefined, 5], [undefined, 0]]), {
       kind: "anywhere",
     });
@@ -48,23 +48,23 @@
     assert.deepEqual(find([]), { kind: "unknown" });
   });
 
-  describe("where routes have few homes or none in common", () => {
-    const findUsual = (rare: number, usual: number) => {
+  describe("when routes have few home regions in common, or none", () => {
+    const findUsual = (excludedCalls: number, includedCalls: number) => {
       const homes = find([
-        [["north", "south"], usual],
-        [["north"], rare],
+        [["north", "south"], includedCalls],
+        [["north"], excludedCalls],
         [undefined, 1_000],
       ]);
       return homes.kind === "bound" ? homes.usual : undefined;
     };
 
-    it("adds the homes of nineteen in twenty of its calls with homes", () => {
+    it("adds the regions that are a home of nineteen in twenty calls with home regions", () => {
       assert.deepEqual(findUsual(5, 95), ["south"]);
       assert.deepEqual(findUsual(6, 95), []);
       assert.deepEqual(findUsual(0, 20), ["south"]);
     });
 
-    it("adds none before it has seen twenty", () => {
+    it("adds none below twenty such calls", () => {
       assert.deepEqual(findUsual(0, 19), []);
     });
   });
--- a/http_routes/http_route.ts
+++ b/http_routes/http_route.ts
@@ -1,7 +1,7 @@
 import type { RegionId } from "../ids/mod.ts";
 import type { TeamTable } from "../teams/mod.ts";
 
-/** What may be done with a call a second time. */
+/** Whether and how calls of a route may be repeated. */
 export type HttpRouteClass =
   /** May run more than once. */
   | "idempotent"
@@ -10,14 +10,14 @@
   /** Answered by a stream of events with increasing ids. */
   | "stream";
 
-/** One of the services that share a route, with its share of the calls. */
+/** One of the services that share the calls of a route. */
 export interface WeightedService {
   readonly service: string;
-  /** Share of the calls, against the sum of all weights of the route. */
+  /** Share of the calls, relative to the sum of all weights of the route. */
   readonly weight: number;
 }
 
-/** Calls of one host and path prefix, and how they are served. */
+/** How calls to one host and path prefix are served. */
 export interface HttpRoute {
   readonly name: string;
   /** Host in lower case, without a port. */
@@ -25,29 +25,32 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly routeClass: HttpRouteClass;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller waits, in milliseconds. */
   readonly timeoutMs: number;
-  /** Response-time objective, in milliseconds; of a stream, to its first event. */
+  /** Response time objective, in milliseconds. For a stream: time to its first event. */
   readonly targetMs: number;
-  /** Longest pause between events for which a stream is on time, in milliseconds. Default: no bound. */
+  /**
+   * Objective for the maximum pause between events of a stream, which are tokens if a
+   * model engine serves the stream, in milliseconds. Default: no bound.
+   */
   readonly longestGapMs: number | undefined;
   /** Rank of the calls: 0 is the most urgent. */
   readonly priority: number;
-  /** Whether callers need no key, where the deployment has teams. */
+  /** Whether callers need no key in a deployment that has teams. */
   readonly isPublic: boolean;
   readonly services: readonly WeightedService[];
-  /** Backend servers that one call may be sent to at the most. */
+  /** Maximum number of backend servers that one call may be sent to. */
   readonly maxAttempts: number;
-  /** Whether a broken stream may go on at another backend server. */
+  /** Whether another backend server may resume a broken stream. */
   readonly isResumable: boolean;
   /**
-   * Regions that may serve it; `undefined`: all. An empty list allows none, so that a
-   * rule that cannot be found never sets calls free.
+   * Regions that may serve the calls; `undefined`: all. An empty list allows none, so
+   * that a missing rule never allows calls to be served everywhere.
    */
   readonly homeRegions: readonly RegionId[] | undefined;
 }
 
-/** Whether a region may serve the calls of a route, or of a team. */
+/** Returns whether a region may serve the calls of a route or of a team. */
 export function mayServe(
   { homeRegions }: Pick<HttpRoute, "homeRegions">,
   region: RegionId,
@@ -58,46 +61,46 @@
 /** A service that routes send calls to. */
 export interface HttpService {
   readonly name: string;
-  /** Connections that one of its servers takes from all instances together. */
+  /** Maximum number of connections from all instances together to one of its servers. */
   readonly maxConnections: number;
   /** How long a server is cold after its start, in milliseconds. */
   readonly warmUpMs: number;
-  /** Calls a second that a cold server bears from all instances together; 0: no bound. */
+  /** Maximum calls per second from all instances together to one cold server; 0: no bound. */
   readonly warmUpCallsPerSecond: number;
-  /** Set where its servers are model engines. */
+  /** Set if its servers are model engines. */
   readonly engine: EngineSpec | undefined;
 }
 
-/** What the servers of a model service have in common. */
+/** Capacity of each model engine of a service. */
 export interface EngineSpec {
-  /** Sequences that one engine runs at a time. */
+  /** Maximum number of sequences that an engine runs at a time. */
   readonly maxSequences: number;
-  /** Tokens that the memory of one engine holds, cached ones included. */
+  /** Tokens that fit into the memory of an engine, including cached ones. */
   readonly cacheTokens: number;
 }
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Bounds on the size and duration of what callers send. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
-  /** Longest time from the first to the last byte of a header, in milliseconds. */
+  /** Maximum time from the first to the last byte of a header, in milliseconds. */
   readonly headerTimeoutMs: number;
-  /** How long a kept connection may stay idle, in milliseconds. */
+  /** Maximum time that a persistent connection may stay idle, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** Everything about routes that is in force at one time. */
+/** One version of all routes, with the services, limits and teams that belong to it. */
 export interface RouteConfiguration {
-  /** Grows with each change. */
+  /** Increases with each change. */
   readonly version: number;
   readonly routes: readonly HttpRoute[];
   readonly services: readonly HttpService[];
   readonly limits: CallerLimits;
-  /** Whose calls are served; `undefined`: the deployment identifies nobody. */
+  /** Teams whose calls are served; `undefined`: the deployment does not identify callers. */
   readonly teams: TeamTable | undefined;
 }
 
-/** Bounds that hold before the first configuration is known. */
+/** Bounds that apply until the first configuration is known. */
 export const INITIAL_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_048_576,
--- a/http_routes/mod.ts
+++ b/http_routes/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Routes of plain HTTP calls: which service serves a host and path, and under
- * which bounds.
+ * Routes of plain HTTP calls: which service serves a host and path, and which bounds
+ * apply.
  *
  * @example
  * ```ts
--- a/http_routes/route_table.ts
+++ b/http_routes/route_table.ts
@@ -9,7 +9,7 @@
   readonly configuration: RouteConfiguration;
   readonly #routesByHost: ReadonlyMap<string, ReadonlyMap<string, HttpRoute>>;
   readonly #services: ReadonlyMap<string, HttpService>;
-  readonly #leastGapMs: ReadonlyMap<string, number>;
+  readonly #maxTokenGapsMs: ReadonlyMap<string, number>;
 
   /** @param configuration Routes and services. */
   constructor(configuration: RouteConfiguration) {
@@ -20,19 +20,19 @@
       hosts.set(route.host, prefixes.set(route.pathPrefix, route));
     });
     this.#routesByHost = hosts;
-    this.#leastGapMs = listLeastGaps(configuration.routes);
+    this.#maxTokenGapsMs = listMaxTokenGaps(configuration.routes);
     this.#services = new Map(
       configuration.services.map((service) => [service.name, service]),
     );
   }
 
   /**
-   * Returns the route with the longest prefix that begins the path.
+   * Returns the route with the longest prefix of the path.
    *
-   * The path is compared as it was sent: a decoded path would let a call reach
-   * a route that its bytes do not name.
+   * The path is compared as it was sent. With a decoded path, a call could reach a
+   * route that the bytes of its path do not name.
    *
-   * @param host Value of the header, with or without a port.
+   * @param host Value of the `Host` header, with or without a port.
    * @param target Path and query, as sent.
    */
   findRoute(host: string, target: string): HttpRoute | undefined {
@@ -49,23 +49,30 @@
     return undefined;
   }
 
-  /** Returns the routes of a host, named with or without a port; none: it is not known. */
+  /**
+   * Returns the routes of a host; empty if the host is not known.
+   *
+   * @param host Value of the `Host` header, with or without a port.
+   */
   listRoutes(host: string): readonly HttpRoute[] {
     return [...this.#routesByHost.get(toHostName(host))?.values() ?? []];
   }
 
-  /** Returns the shortest pause that streams of a service must keep, in milliseconds. */
+  /**
+   * Returns the strictest objective for the maximum pause between events of a stream,
+   * among all routes of a service, in milliseconds; `undefined`: no route has one.
+   */
   findLeastGapMs(service: string): number | undefined {
-    return this.#leastGapMs.get(service);
+    return this.#maxTokenGapsMs.get(service);
   }
 
-  /** Returns a service by its name. */
+  /** Returns the service with the given name. */
   findService(name: string): HttpService | undefined {
     return this.#services.get(name);
   }
 }
 
-function listLeastGaps(
+function listMaxTokenGaps(
   routes: readonly HttpRoute[],
 ): ReadonlyMap<string, number> {
   const gaps = new Map<string, number>();
@@ -83,12 +90,12 @@
  * Picks one of the services that share a route.
  *
  * @param route Route of the call.
- * @param draw Random number from 0 (included) to 1 (excluded).
+ * @param randomFraction Random number from 0 (included) to 1 (excluded).
  */
-export function pickService(route: HttpRoute, draw: number): string {
+export function pickService(route: HttpRoute, randomFraction: number): string {
   const total = route.services.reduce((sum, { weight }) => sum + weight, 0);
-  let left = draw * total;
-  const picked = route.services.find(({ weight }) => (left -= weight) < 0);
+  let remaining = randomFraction * total;
+  const picked = route.services.find(({ weight }) => (remaining -= weight) < 0);
   return (picked ?? route.services[0]!).service;
 }
 
--- a/http_routes/route_table_test.ts
+++ b/http_routes/route_table_test.ts
@@ -11,12 +11,12 @@
   const table = createRouteTable(routes);
 
   describe("listRoutes()", () => {
-    it("returns those of a host, named with or without its port", () => {
+    it("returns the routes of a host, given with or without its port", () => {
       assert.deepEqual(table.listRoutes(ROUTE_HOST), routes);
       assert.deepEqual(table.listRoutes(`${ROUTE_HOST}:8144`), routes);
     });
 
-    it("returns none of a host that is not known", () => {
+    it("returns none for an unknown host", () => {
       assert.deepEqual(table.listRoutes("other"), []);
     });
   });
--- a/http_routes/route_use.ts
+++ b/http_routes/route_use.ts
@@ -2,30 +2,31 @@
 import type { HttpRoute } from "./http_route.ts";
 
 /**
- * Span over which the calls of a route are counted, in milliseconds: long enough for
- * hundreds of calls of a busy host, short enough to follow a change of routes.
+ * Length of the window over which the calls of a route are counted, in milliseconds.
+ * The window is long enough for hundreds of calls of a busy host, and short enough to
+ * follow a change of routes.
  */
-const USE_WINDOW_MS = 60_000;
+const COUNT_WINDOW_MS = 60_000;
 
-/** Counts the calls of routes with homes, as callers sent them here lately. */
+/** Counts the recent calls that callers sent to this instance for routes with home regions. */
 export class RouteUse {
   readonly #counts = new Map<string, SlidingCount>();
 
-  /** Counts a call of a caller. */
+  /** Counts a call. A call of a route without home regions is ignored. */
   record(route: HttpRoute, nowMs: number): void {
     if (route.homeRegions === undefined) return;
     const key = toKey(route);
-    const count = this.#counts.get(key) ?? new SlidingCount(USE_WINDOW_MS);
+    const count = this.#counts.get(key) ?? new SlidingCount(COUNT_WINDOW_MS);
     this.#counts.set(key, count);
     count.add(nowMs);
   }
 
-  /** Returns how many calls a route got in the last minute. */
+  /** Returns the number of calls of a route in the last minute. */
   read(route: HttpRoute, nowMs: number): number {
     return this.#counts.get(toKey(route))?.read(nowMs) ?? 0;
   }
 
-  /** Forgets the routes that are gone. */
+  /** Forgets the counts of all other routes. */
   keepOnly(routes: readonly HttpRoute[]): void {
     const kept = new Set(routes.map(toKey));
     [...this.#counts.keys()].filter((key) => !kept.has(key))
--- a/http_routes/route_use_test.ts
+++ b/http_routes/route_use_test.ts
@@ -6,7 +6,7 @@
 describe("RouteUse", () => {
   const bound = createRoute("/a/", ["north"]);
 
-  it("counts the calls of a minute", () => {
+  it("counts the calls of the last minute", () => {
     const use = new RouteUse();
     [0, 30_000, 59_000].forEach((atMs) => use.record(bound, atMs));
     assert.equal(use.read(bound, 59_000), 3);
@@ -14,7 +14,7 @@
     assert.equal(use.read(bound, 200_000), 0);
   });
 
-  it("counts a route on when its homes change, and forgets it with its host and path", () => {
+  it("keeps the count when the home regions of a route change, and drops it with the host and path", () => {
     const use = new RouteUse();
     use.record(bound, 0);
     const moved = createRoute("/a/", ["south"]);
@@ -24,7 +24,7 @@
     assert.equal(use.read(moved, 1), 0);
   });
 
-  it("counts none of routes that are bound to no region", () => {
+  it("ignores routes without home regions", () => {
     const use = new RouteUse();
     const free = createRoute("/f/");
     use.record(free, 0);
