--- a/peers/mod.ts
+++ b/peers/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The ports to other daemons and to the platform's lists.
+ * The ports to other daemons and to the platform's instance list and directory.
  *
  * @example
  * ```ts
--- a/peers/peer_transport.ts
+++ b/peers/peer_transport.ts
@@ -8,7 +8,7 @@
 import type { Failure } from "../results/mod.ts";
 import type { CreditGrant } from "../routing/mod.ts";
 
-/** A result as it travels. */
+/** Serialised form of a result. */
 export type WireResult<T> =
   | { readonly kind: "ok"; readonly value: T }
   | { readonly kind: "failed"; readonly failure: Failure };
@@ -52,16 +52,16 @@
 /** Name of a method between daemons. */
 export type PeerMethod = keyof PeerMethods;
 
-/** Why a peer gave no result. */
+/** Why a call to a peer has no result. */
 export interface PeerFailure {
-  /** `unreachable`: it did not get the call. `unknown`: it may have. */
+  /** `unreachable`: the peer did not receive the call. `unknown`: it may have. */
   readonly kind: "unreachable" | "unknown";
   readonly message: string;
 }
 
 /** The port to other daemons. */
 export interface PeerTransport {
-  /** Sends a heartbeat; it may be lost. */
+  /** Sends a heartbeat, without a guarantee of delivery. */
   send(to: InstanceRecord, heartbeat: Heartbeat): void;
   /** Calls a method of a peer. */
   call<Method extends PeerMethod>(
@@ -71,7 +71,7 @@
   ): Promise<Result<PeerMethods[Method]["result"], PeerFailure>>;
 }
 
-/** What a daemon does when a peer calls. */
+/** Handlers of a daemon for the methods that peers call. */
 export type PeerHandlers = {
   readonly [Method in PeerMethod]: (
     params: PeerMethods[Method]["params"],
--- a/peers/platform.ts
+++ b/peers/platform.ts
@@ -1,18 +1,18 @@
 import type { Result } from "neverthrow";
 import type { InstanceRecord } from "../membership/mod.ts";
 
-/** Why the platform gave no answer. */
+/** Why a call to the platform failed. */
 export interface PlatformFailure {
   readonly message: string;
 }
 
-/** The platform's list of instances. It lags. */
+/** The platform's list of instances, which lags behind reality. */
 export interface InstanceList {
-  /** Reads the list. */
+  /** Returns the instances in the list. */
   read(): Promise<Result<readonly InstanceRecord[], PlatformFailure>>;
 }
 
-/** The platform's directory, in which callers find entries. */
+/** The platform's directory, where callers find entries. */
 export interface Directory {
   /** Publishes the entries of a region. */
   publish(
