--- a/membership/encode_heartbeat.ts
+++ b/membership/encode_heartbeat.ts
@@ -11,13 +11,13 @@
 const TAG_BYTES = 12;
 const STATUSES = ["suspect", "leaving", "dead"] as const;
 
-const rumour = z.tuple([
+const gossipRow = z.tuple([
   z.string(),
   z.number(),
   z.number().int().min(0).max(2),
 ]);
-const service = z.tuple([z.string(), z.number(), z.number()]);
-const digest = z.tuple([
+const serviceRow = z.tuple([z.string(), z.number(), z.number()]);
+const digestRow = z.tuple([
   z.string(),
   z.string(),
   z.number(),
@@ -26,9 +26,9 @@
   z.number(),
   z.number(),
   z.array(z.string()),
-  z.array(service),
+  z.array(serviceRow),
 ]);
-const endsRow = z.tuple([z.string(), z.number().nonnegative()]).rest(
+const crashRow = z.tuple([z.string(), z.number().nonnegative()]).rest(
   z.string(),
 );
 const notification = z.object({
@@ -41,18 +41,18 @@
     z.number(),
     z.number(),
     z.number(),
-    z.array(rumour),
-    z.array(digest),
+    z.array(gossipRow),
+    z.array(digestRow),
   ]),
-  // Beside the parameters: daemons of earlier versions take just those above.
-  ends: z.array(endsRow).optional(),
+  // Outside of the parameters, since daemons of earlier versions accept only those above.
+  ends: z.array(crashRow).optional(),
 });
 
 /**
  * Encodes a heartbeat as a JSON-RPC 2.0 notification with positional
- * parameters, behind a truncated HMAC-SHA-256 tag.
+ * parameters, prefixed by a truncated HMAC-SHA-256 tag.
  *
- * @param heartbeat What to send.
+ * @param heartbeat Heartbeat to encode.
  * @param key Secret shared by all daemons.
  */
 export function encodeHeartbeat(heartbeat: Heartbeat, key: string): Buffer {
@@ -99,9 +99,9 @@
 }
 
 /**
- * Decodes a heartbeat; `undefined` if the tag or the shape is wrong.
+ * Decodes a heartbeat. Returns `undefined` if the tag or the shape is wrong.
  *
- * @param datagram What arrived.
+ * @param datagram Datagram as received.
  * @param key Secret shared by all daemons.
  */
 export function decodeHeartbeat(
@@ -124,7 +124,7 @@
     sequence,
     leaving,
     configuration,
-    rumours,
+    gossip,
     digests,
   ] = parsed.data.params;
   return {
@@ -134,7 +134,7 @@
     sequence,
     isLeaving: leaving === 1,
     configuration,
-    rumours: rumours.map(([id, number, status]) => ({
+    rumours: gossip.map(([id, number, status]) => ({
       id: id as InstanceId,
       incarnation: number,
       status: STATUSES[status]!,
--- a/membership/member.ts
+++ b/membership/member.ts
@@ -1,7 +1,7 @@
 import type { ReportedEnds } from "../quarantine/mod.ts";
 import type { InstanceId, RegionId } from "../ids/mod.ts";
 
-/** Where an instance is and how to reach it, as the platform lists it. */
+/** Location and addresses of an instance, as listed by the platform. */
 export interface InstanceRecord {
   readonly id: InstanceId;
   readonly region: RegionId;
@@ -13,33 +13,34 @@
   readonly isLeaving: boolean;
 }
 
-/** What is believed of a member. */
+/** Status of a member, as seen by this instance. */
 export type MemberStatus =
-  /** Listed by the platform, not yet heard. */
+  /** Listed by the platform; no heartbeat received yet. */
   | "listed"
   | "live"
-  /** Not heard for a while; still counted as live. */
+  /** Silent for longer than the timeout; still counted as live. */
   | "suspect"
   | "leaving"
   | "dead";
 
-/** One member of the own region. */
+/** A member of the local region. */
 export interface Member {
   readonly record: InstanceRecord;
   status: MemberStatus;
-  /** Grows with each start and each refuted rumour of death. */
+  /** Grows with each start and with each refuted suspicion or death notice. */
   incarnation: number;
+  /** Number of its last heartbeat. */
   sequence: number;
-  /** When it was last heard, on the own clock. */
-  heardMs: number;
-  /** When it became suspect, on the own clock. */
-  suspectMs: number;
-  /** Sequence number of its configuration. */
+  /** When its last heartbeat was received, in milliseconds on this instance's clock. */
+  receivedMs: number;
+  /** When it became suspect, in milliseconds on this instance's clock. */
+  suspectSinceMs: number;
+  /** Sequence number of the configuration that it has in force. */
   configuration: number;
 }
 
-/** What an instance hears about a third one. */
-export interface Rumour {
+/** Status of a member, as passed on by another one. */
+export interface StatusGossip {
   readonly id: InstanceId;
   readonly incarnation: number;
   readonly status: "suspect" | "leaving" | "dead";
@@ -48,36 +49,38 @@
 /** Free capacity of one service in one region. */
 export interface ServiceDigest {
   readonly service: string;
-  /** Free sequences over all its engines. */
+  /** Number of free sequences over all engines of the service. */
   readonly spare: number;
   /** Estimated time to the first token, in milliseconds. */
   readonly firstTokenMs: number;
 }
 
-/** What a region tells the others of itself. */
+/** Summary of a region's state that it sends to other regions. */
 export interface RegionDigest {
   readonly region: RegionId;
+  /** Observer that created the digest. */
   readonly author: InstanceId;
   readonly incarnation: number;
   readonly sequence: number;
-  /** Lowest and highest configuration in force at its live instances. */
+  /** Lowest and highest sequence number of the configurations in force at its live instances. */
   readonly configuration: readonly [lowest: number, highest: number];
   readonly liveCount: number;
-  /** Instances that take forwarded requests and digests. */
+  /** Instances that accept forwarded requests and digests. */
   readonly gateways: readonly InstanceId[];
   readonly services: readonly ServiceDigest[];
 }
 
-/** A heartbeat. */
+/** A periodic message of an instance to its peers, with gossip and region digests. */
 export interface Heartbeat {
   readonly from: InstanceId;
   readonly region: RegionId;
   readonly incarnation: number;
   readonly sequence: number;
   readonly isLeaving: boolean;
+  /** Sequence number of the configuration that the sender has in force. */
   readonly configuration: number;
-  readonly rumours: readonly Rumour[];
+  readonly rumours: readonly StatusGossip[];
   readonly digests: readonly RegionDigest[];
-  /** Calls under which servers ended. Default: none. */
+  /** Reports of server crashes during calls. Default: none. */
   readonly ends?: readonly ReportedEnds[];
 }
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -6,8 +6,8 @@
   InstanceRecord,
   Member,
   RegionDigest,
-  Rumour,
   ServiceDigest,
+  StatusGossip,
 } from "./member.ts";
 import { rankNames } from "./rank.ts";
 import {
@@ -18,56 +18,63 @@
 
 /** Pause between heartbeats, in milliseconds. */
 export const HEARTBEAT_INTERVAL_MS = 400;
-/** Silence after which a monitored member is suspect: four heartbeats in a row. */
+/**
+ * Silence after which a monitored member becomes suspect, in milliseconds: four
+ * missed heartbeats in a row.
+ */
 export const SUSPECT_AFTER_MS = 1_650;
-/** Time that a suspect has to refute, in milliseconds. */
+/** Time that a suspect member has to refute the suspicion, in milliseconds. */
 export const DEAD_AFTER_SUSPECT_MS = 700;
-const MONITORS = 2;
-const SMALL_REGION = 4;
-const OBSERVERS = 2;
-const DIGEST_EVERY_TICKS = 3;
-const DIGESTS_PER_MESSAGE = 2;
-const RUMOUR_TICKS = 6;
-const RUMOURS_PER_MESSAGE = 6;
-const RETRY_DEAD_EVERY_TICKS = 5;
-const DIGEST_GATEWAYS = 3;
-
-/** What a membership is created from. */
+/** Predecessors in the ring that each member monitors. */
+const MONITORS_PER_MEMBER = 2;
+/** Number of other members below which each member monitors all others. */
+const RING_MIN_PEERS = 4;
+const OBSERVERS_PER_REGION = 2;
+const DIGEST_INTERVAL_TICKS = 3;
+const MAX_DIGESTS_PER_MESSAGE = 2;
+const GOSSIP_LIFETIME_TICKS = 6;
+const MAX_GOSSIP_PER_MESSAGE = 6;
+const DEAD_RETRY_INTERVAL_TICKS = 5;
+const GATEWAYS_PER_DIGEST = 3;
+
+/** Constructor arguments of {@linkcode Membership}. */
 export interface MembershipParts {
   readonly self: InstanceRecord;
-  /** Number of this start; must grow with each start. */
+  /** Number of this start of the process; must grow with each start. */
   readonly incarnation: number;
   readonly random: Random;
 }
 
-/** A message and whom it goes to. */
-export interface Outgoing {
+/** A heartbeat to send, with its receiver. */
+export interface OutgoingHeartbeat {
   readonly to: InstanceRecord;
   readonly heartbeat: Heartbeat;
 }
 
-/** What a tick needs to know of the rest of the daemon. */
-export interface LocalReport {
+/** State of the rest of the daemon that goes into the heartbeats of a tick. */
+export interface LocalState {
+  /** Sequence number of the configuration in force. */
   readonly configuration: number;
-  /** Free capacity of the services of the own region. */
+  /** Free capacity of the services of the local region. */
   readonly services: readonly ServiceDigest[];
 }
 
-interface HeldRumour {
-  readonly rumour: Rumour;
+interface QueuedGossip {
+  readonly gossip: StatusGossip;
   ticksLeft: number;
 }
 
 /**
- * Who is live, leaving, suspect or dead, as one instance sees it. Members of a
- * region watch each other in a ring and spread rumours; two observers a region
- * exchange digests with other regions. Without input or output of its own: the
- * caller delivers what it returns.
+ * Tracks which instances are live, leaving, suspect or dead, as seen by this
+ * instance. The members of a region monitor each other in a ring and gossip about
+ * status changes; two observers per region exchange digests with other regions.
+ * The class does no input or output: the calling code sends the heartbeats that
+ * its methods return.
  *
  * Suspicion and refutation follow SWIM (Das, Gupta and Motivala, 2002).
  */
 export class Membership {
-  /** Messages that were dropped since they were older than what is known. */
+  /** Number of heartbeats dropped as older than what is known of their sender. */
   staleCount = 0;
   readonly #self: InstanceRecord;
   readonly #random: Random;
@@ -76,11 +83,11 @@
   #ticks = 0;
   #isLeaving = false;
   readonly #members = new Map<InstanceId, Member>();
-  #others = new Map<InstanceId, InstanceRecord>();
+  #remoteInstances = new Map<InstanceId, InstanceRecord>();
   readonly #digests = new RegionDigests();
-  readonly #rumours = new Map<InstanceId, HeldRumour>();
+  readonly #gossip = new Map<InstanceId, QueuedGossip>();
   #monitored: readonly InstanceId[] = [];
-  #newestHeard = 0;
+  #newestConfiguration = 0;
 
   /** @param parts Own record, incarnation and random source. */
   constructor(parts: MembershipParts) {
@@ -89,12 +96,12 @@
     this.#random = parts.random;
   }
 
-  /** Own record. */
+  /** Record of this instance. */
   get self(): InstanceRecord {
     return this.#self;
   }
 
-  /** Own incarnation. */
+  /** Incarnation of this instance. */
   get incarnation(): number {
     return this.#incarnation;
   }
@@ -104,78 +111,84 @@
     return this.#isLeaving;
   }
 
-  /** Highest configuration that any peer or region has reported. */
+  /** Highest configuration sequence number that any peer or region has reported. */
   get newestHeard(): number {
-    return this.#newestHeard;
+    return this.#newestConfiguration;
   }
 
-  /** Members of the own region, without itself. */
+  /** Members of the local region, without this instance. */
   get members(): readonly Member[] {
     return [...this.#members.values()];
   }
 
-  /** All instances that the platform lists, without itself. */
+  /** Members of the local region and instances of all others, without this instance. */
   get listed(): readonly InstanceRecord[] {
     return [
       ...this.members.map(({ record }) => record),
-      ...this.#others.values(),
+      ...this.#remoteInstances.values(),
     ];
   }
 
-  /** Members of the own region that may get work, with itself unless it is leaving. */
+  /** Members of the local region that accept work, with this instance unless it is leaving. */
   get liveIds(): readonly InstanceId[] {
     const live = this.members.filter(isServing).map(({ record }) => record.id);
     return this.#isLeaving ? live : [this.#self.id, ...live];
   }
 
-  /** Returns the record of a listed instance. */
+  /** Returns the record of an instance, or `undefined` if it is not known. */
   readRecord(id: InstanceId): InstanceRecord | undefined {
-    return this.#members.get(id)?.record ?? this.#others.get(id);
+    return this.#members.get(id)?.record ?? this.#remoteInstances.get(id);
   }
 
   /** Whether this instance is one of the observers of its region. */
   get isObserver(): boolean {
-    return rankNames(this.#self.region, this.liveIds).slice(0, OBSERVERS)
+    return rankNames(this.#self.region, this.liveIds).slice(
+      0,
+      OBSERVERS_PER_REGION,
+    )
       .includes(this.#self.id);
   }
 
-  /** Whether this instance is the first of the observers of its region. */
+  /** Whether this instance is the first observer of its region. */
   get isFirstObserver(): boolean {
     return rankNames(this.#self.region, this.liveIds)[0] === this.#self.id;
   }
 
-  /** The newest digest of each other region, with its age in milliseconds. */
+  /** Returns the newest digest of each remote region, with its age in milliseconds. */
   readDigests(nowMs: number): readonly AgedDigest[] {
     return this.#digests.readNewest(this.#self.region, nowMs);
   }
 
-  /** Returns instances of another region that may take work, the best known first. */
+  /**
+   * Returns instances of a remote region that accept work: first the gateways that
+   * its digest names, then all others that the platform lists.
+   */
   readGateways(region: RegionId, nowMs: number): readonly InstanceRecord[] {
     const fresh = this.readDigests(nowMs).find(({ digest, ageMs }) =>
       digest.region === region && ageMs < DIGEST_FRESH_MS
     );
-    const told = (fresh?.digest.gateways ?? []).map((id) =>
-      this.#others.get(id)
+    const named = (fresh?.digest.gateways ?? []).map((id) =>
+      this.#remoteInstances.get(id)
     );
-    const listed = [...this.#others.values()].filter((record) =>
+    const listed = [...this.#remoteInstances.values()].filter((record) =>
       record.region === region && !record.isLeaving
     );
-    return [...new Set([...told, ...listed])].filter((record) =>
+    return [...new Set([...named, ...listed])].filter((record) =>
       record !== undefined
     );
   }
 
-  /** Says to all peers from now on that this instance is leaving. */
+  /** Marks this instance as leaving in all heartbeats from now on. */
   markLeaving(): void {
     this.#isLeaving = true;
   }
 
   /**
-   * Takes the platform's list, which lags: it adds and removes, but does not
-   * overrule what was heard.
+   * Applies the platform's list of instances. The list lags behind, so that it adds
+   * and removes members but does not override a status learned from heartbeats.
    *
    * @param records All listed instances.
-   * @param nowMs Time now.
+   * @param nowMs Current time, in milliseconds.
    */
   applyList(records: readonly InstanceRecord[], nowMs: number): void {
     const others = records.filter(({ id }) => id !== this.#self.id);
@@ -185,7 +198,7 @@
       .forEach((id) => this.#members.delete(id));
     others.filter(({ region }) => region === this.#self.region)
       .forEach((record) => this.#addListed(record, nowMs));
-    this.#others = new Map(
+    this.#remoteInstances = new Map(
       others.filter(({ region }) => region !== this.#self.region)
         .map((record) => [record.id, record]),
     );
@@ -193,35 +206,45 @@
   }
 
   /**
-   * Takes a heartbeat.
+   * Applies a received heartbeat.
    *
-   * @param heartbeat From a peer.
-   * @param nowMs Time now.
-   * @returns Answers to send at once.
+   * @param heartbeat Heartbeat of a peer.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Heartbeats to send at once.
    */
-  applyHeartbeat(heartbeat: Heartbeat, nowMs: number): readonly Outgoing[] {
+  applyHeartbeat(
+    heartbeat: Heartbeat,
+    nowMs: number,
+  ): readonly OutgoingHeartbeat[] {
     heartbeat.digests.forEach((digest) => this.#applyDigest(digest, nowMs));
-    this.#newestHeard = Math.max(this.#newestHeard, heartbeat.configuration);
+    this.#newestConfiguration = Math.max(
+      this.#newestConfiguration,
+      heartbeat.configuration,
+    );
     if (heartbeat.region !== this.#self.region) return [];
     const answers = this.#applySender(heartbeat, nowMs);
-    const heard = heartbeat.rumours.flatMap((rumour) =>
-      this.#applyRumour(rumour, nowMs)
+    const refutations = heartbeat.rumours.flatMap((gossip) =>
+      this.#applyGossip(gossip, nowMs)
     );
-    return [...answers, ...heard];
+    return [...answers, ...refutations];
   }
 
   /**
-   * Decides what to send now.
+   * Advances by one tick: updates the status of silent members and returns the
+   * heartbeats to send.
    *
-   * @param local Own configuration and capacity.
-   * @param nowMs Time now.
+   * @param local Configuration and free capacity of this instance's region.
+   * @param nowMs Current time, in milliseconds.
    */
-  decideTick(local: LocalReport, nowMs: number): readonly Outgoing[] {
+  decideTick(local: LocalState, nowMs: number): readonly OutgoingHeartbeat[] {
     this.#ticks++;
     this.#sequence++;
-    this.#newestHeard = Math.max(this.#newestHeard, local.configuration);
-    const urgent = this.#judgeSilence(local, nowMs);
-    const withDigests = this.#ticks % DIGEST_EVERY_TICKS === 0;
+    this.#newestConfiguration = Math.max(
+      this.#newestConfiguration,
+      local.configuration,
+    );
+    const urgent = this.#detectFailures(local, nowMs);
+    const withDigests = this.#ticks % DIGEST_INTERVAL_TICKS === 0;
     const own = withDigests && this.isObserver
       ? [this.#createDigest(local)]
       : [];
@@ -236,19 +259,24 @@
           : [],
       ),
     }));
-    const across = own.length === 0 ? [] : this.#pickAcross().map((to) => ({
-      to,
-      heartbeat: this.#createHeartbeat(
-        local.configuration,
-        this.#pickDigests(own, nowMs),
-      ),
-    }));
-    this.#ageRumours();
-    return [...urgent, ...regular, ...across];
+    const remote = own.length === 0
+      ? []
+      : this.#pickRemoteTargets().map((to) => ({
+        to,
+        heartbeat: this.#createHeartbeat(
+          local.configuration,
+          this.#pickDigests(own, nowMs),
+        ),
+      }));
+    this.#expireGossip();
+    return [...urgent, ...regular, ...remote];
   }
 
-  /** Returns a heartbeat for every member: to say at once that this instance leaves. */
-  createFarewell(configuration: number): readonly Outgoing[] {
+  /**
+   * Returns a heartbeat for each member of the local region, to be sent outside the
+   * regular interval, such as at the start of a graceful shutdown.
+   */
+  createFarewell(configuration: number): readonly OutgoingHeartbeat[] {
     this.#sequence++;
     const heartbeat = this.#createHeartbeat(configuration, []);
     return this.members.map(({ record }) => ({ to: record, heartbeat }));
@@ -267,20 +295,23 @@
       status: record.isLeaving ? "leaving" : "listed",
       incarnation: 0,
       sequence: 0,
-      heardMs: nowMs,
-      suspectMs: 0,
+      receivedMs: nowMs,
+      suspectSinceMs: 0,
       configuration: 0,
     });
   }
 
-  #applySender(heartbeat: Heartbeat, nowMs: number): readonly Outgoing[] {
+  #applySender(
+    heartbeat: Heartbeat,
+    nowMs: number,
+  ): readonly OutgoingHeartbeat[] {
     const member = this.#members.get(heartbeat.from);
     if (member === undefined) return [];
     if (
       member.status === "dead" && heartbeat.incarnation <= member.incarnation
     ) {
       this.staleCount++;
-      return [this.#tellOfDeath(member)];
+      return [this.#createDeathNotice(member)];
     }
     const isOlder = heartbeat.incarnation < member.incarnation ||
       (heartbeat.incarnation === member.incarnation &&
@@ -292,91 +323,96 @@
     const wasServing = isServing(member) && member.status !== "listed";
     member.incarnation = heartbeat.incarnation;
     member.sequence = heartbeat.sequence;
-    member.heardMs = nowMs;
+    member.receivedMs = nowMs;
     member.configuration = heartbeat.configuration;
     member.status = heartbeat.isLeaving ? "leaving" : "live";
-    const held = this.#rumours.get(heartbeat.from);
-    if (held !== undefined && held.rumour.status !== "leaving") {
-      this.#rumours.delete(heartbeat.from);
+    const queued = this.#gossip.get(heartbeat.from);
+    if (queued !== undefined && queued.gossip.status !== "leaving") {
+      this.#gossip.delete(heartbeat.from);
     }
     if (heartbeat.isLeaving && wasServing) {
-      this.#spread(toRumour(member, "leaving"));
+      this.#enqueueGossip(toGossip(member, "leaving"));
     }
     if (!wasServing) this.#chooseMonitored();
     return [];
   }
 
-  #tellOfDeath(member: Member): Outgoing {
+  #createDeathNotice(member: Member): OutgoingHeartbeat {
     const heartbeat = this.#createHeartbeat(0, []);
     return {
       to: member.record,
-      heartbeat: { ...heartbeat, rumours: [toRumour(member, "dead")] },
+      heartbeat: { ...heartbeat, rumours: [toGossip(member, "dead")] },
     };
   }
 
-  #applyRumour(rumour: Rumour, nowMs: number): readonly Outgoing[] {
-    if (rumour.id === this.#self.id) return this.#refute(rumour);
-    const member = this.#members.get(rumour.id);
-    if (member === undefined || rumour.incarnation < member.incarnation) {
+  #applyGossip(
+    gossip: StatusGossip,
+    nowMs: number,
+  ): readonly OutgoingHeartbeat[] {
+    if (gossip.id === this.#self.id) return this.#refute(gossip);
+    const member = this.#members.get(gossip.id);
+    if (member === undefined || gossip.incarnation < member.incarnation) {
       return [];
     }
-    const wasHeardJustNow =
-      nowMs - member.heardMs < 2 * HEARTBEAT_INTERVAL_MS &&
-      rumour.incarnation === member.incarnation;
-    switch (rumour.status) {
+    const isRecent = nowMs - member.receivedMs < 2 * HEARTBEAT_INTERVAL_MS &&
+      gossip.incarnation === member.incarnation;
+    switch (gossip.status) {
       case "leaving":
         if (member.status === "leaving" || member.status === "dead") return [];
         member.status = "leaving";
-        this.#spread(rumour);
+        this.#enqueueGossip(gossip);
         return [];
       case "suspect":
-        if (member.status === "live" && !wasHeardJustNow) {
+        if (member.status === "live" && !isRecent) {
           member.status = "suspect";
-          member.suspectMs = nowMs;
+          member.suspectSinceMs = nowMs;
         }
         return [];
       case "dead":
-        if (member.status === "dead" || wasHeardJustNow) return [];
-        this.#bury(member, rumour.incarnation);
+        if (member.status === "dead" || isRecent) return [];
+        this.#markDead(member, gossip.incarnation);
         return [];
     }
   }
 
-  /** Answers a rumour about itself with a higher incarnation. */
-  #refute(rumour: Rumour): readonly Outgoing[] {
-    if (rumour.status === "leaving" || rumour.incarnation < this.#incarnation) {
+  /** Refutes a suspicion of this instance by a higher incarnation. */
+  #refute(gossip: StatusGossip): readonly OutgoingHeartbeat[] {
+    if (gossip.status === "leaving" || gossip.incarnation < this.#incarnation) {
       return [];
     }
-    this.#incarnation = rumour.incarnation + 1;
-    return this.createFarewell(this.#newestHeard);
+    this.#incarnation = gossip.incarnation + 1;
+    return this.createFarewell(this.#newestConfiguration);
   }
 
-  #bury(member: Member, incarnation: number): void {
+  #markDead(member: Member, incarnation: number): void {
     member.status = "dead";
     member.incarnation = Math.max(member.incarnation, incarnation);
-    this.#spread(toRumour(member, "dead"));
+    this.#enqueueGossip(toGossip(member, "dead"));
     this.#chooseMonitored();
   }
 
-  #judgeSilence(local: LocalReport, nowMs: number): readonly Outgoing[] {
+  #detectFailures(
+    local: LocalState,
+    nowMs: number,
+  ): readonly OutgoingHeartbeat[] {
     const monitored = new Set(this.#monitored);
     const silent = this.members.filter((member) =>
       monitored.has(member.record.id)
     )
       .filter((member) => ["live", "leaving", "listed"].includes(member.status))
-      .filter((member) => nowMs - member.heardMs >= SUSPECT_AFTER_MS);
+      .filter((member) => nowMs - member.receivedMs >= SUSPECT_AFTER_MS);
     silent.forEach((member) => {
       member.status = "suspect";
-      member.suspectMs = nowMs;
+      member.suspectSinceMs = nowMs;
     });
     const expired = this.members.filter((member) =>
       member.status === "suspect" &&
-      nowMs - member.suspectMs >= DEAD_AFTER_SUSPECT_MS
+      nowMs - member.suspectSinceMs >= DEAD_AFTER_SUSPECT_MS
     );
-    expired.forEach((member) => this.#bury(member, member.incarnation));
+    expired.forEach((member) => this.#markDead(member, member.incarnation));
     const rumours = [
-      ...silent.map((member) => toRumour(member, "suspect")),
-      ...expired.map((member) => toRumour(member, "dead")),
+      ...silent.map((member) => toGossip(member, "suspect")),
+      ...expired.map((member) => toGossip(member, "dead")),
     ];
     if (rumours.length === 0) return [];
     const heartbeat = {
@@ -394,24 +430,28 @@
       .map(({ record }) => record.id);
     const ring = rankNames("ring", [...ids, this.#self.id]);
     const at = ring.indexOf(this.#self.id);
-    const before = Array.from(
-      { length: Math.min(MONITORS, ids.length) },
+    const predecessors = Array.from(
+      { length: Math.min(MONITORS_PER_MEMBER, ids.length) },
       (_, step) => ring[(at - 1 - step + ring.length) % ring.length]!,
     );
-    const added = before.filter((id) => !this.#monitored.includes(id));
-    this.#monitored = ids.length < SMALL_REGION ? ids : before;
-    // Who is newly monitored gets the full time: it did not have to send here before.
+    const added = predecessors.filter((id) => !this.#monitored.includes(id));
+    this.#monitored = ids.length < RING_MIN_PEERS ? ids : predecessors;
+    // A newly monitored member gets the full timeout, since it did not have to send
+    // heartbeats to this instance before.
     added.map((id) => this.#members.get(id)!)
       .filter((member) => member.status !== "listed")
       .forEach((member) => {
-        member.heardMs = Math.max(member.heardMs, this.#lastTickMs(member));
+        member.receivedMs = Math.max(
+          member.receivedMs,
+          this.#findLatestReceivedMs(member),
+        );
       });
   }
 
-  #lastTickMs(member: Member): number {
+  #findLatestReceivedMs(member: Member): number {
     return Math.max(
-      member.heardMs,
-      ...this.members.map(({ heardMs }) => heardMs),
+      member.receivedMs,
+      ...this.members.map(({ receivedMs }) => receivedMs),
     );
   }
 
@@ -420,48 +460,56 @@
       .map(({ record }) => record);
     const dead = this.members.filter(({ status }) => status === "dead")
       .map(({ record }) => record);
-    const retried = this.#ticks % RETRY_DEAD_EVERY_TICKS === 0
+    const retried = this.#ticks % DEAD_RETRY_INTERVAL_TICKS === 0
       ? pickRandom(dead, this.#random)
       : undefined;
     const extra = retried === undefined ? [] : [retried];
-    if (alive.length < SMALL_REGION) return [...alive, ...extra];
+    if (alive.length < RING_MIN_PEERS) return [...alive, ...extra];
     const ring = rankNames("ring", [
       ...alive.map(({ id }) => id),
       this.#self.id,
     ]);
     const at = ring.indexOf(this.#self.id);
-    const after = Array.from(
-      { length: MONITORS },
+    const successors = Array.from(
+      { length: MONITORS_PER_MEMBER },
       (_, step) => ring[(at + 1 + step) % ring.length]!,
     );
     const random = pickRandom(
-      alive.filter(({ id }) => !after.includes(id)),
+      alive.filter(({ id }) => !successors.includes(id)),
       this.#random,
     );
-    const monitors = after.map((id) => this.#members.get(id)!.record);
+    const monitors = successors.map((id) => this.#members.get(id)!.record);
     return [...monitors, ...(random === undefined ? [] : [random]), ...extra];
   }
 
-  #pickAcross(): readonly InstanceRecord[] {
+  #pickRemoteTargets(): readonly InstanceRecord[] {
     const regions = [
-      ...new Set([...this.#others.values()].map(({ region }) => region)),
+      ...new Set(
+        [...this.#remoteInstances.values()].map(({ region }) => region),
+      ),
     ];
     const region = pickRandom(regions, this.#random);
     if (region === undefined) return [];
-    const candidates = [...this.#others.values()].filter((record) =>
+    const candidates = [...this.#remoteInstances.values()].filter((record) =>
       record.region === region
     );
     const gateways = this.#digests.listGateways(region);
-    const told = gateways.filter((id) =>
+    const knownGateways = gateways.filter((id) =>
       candidates.some((record) => record.id === id)
     );
-    const known = candidates.filter(({ id }) => told.includes(id));
-    const isTold = known.length > 0 && this.#random.nextFloat() < 0.8;
-    const target = pickRandom(isTold ? known : candidates, this.#random);
+    const gatewayRecords = candidates.filter(({ id }) =>
+      knownGateways.includes(id)
+    );
+    const prefersGateway = gatewayRecords.length > 0 &&
+      this.#random.nextFloat() < 0.8;
+    const target = pickRandom(
+      prefersGateway ? gatewayRecords : candidates,
+      this.#random,
+    );
     return target === undefined ? [] : [target];
   }
 
-  #createDigest(local: LocalReport): RegionDigest {
+  #createDigest(local: LocalState): RegionDigest {
     const serving = this.members.filter((member) =>
       isServing(member) && member.status !== "listed"
     );
@@ -470,7 +518,7 @@
       ...serving.map((member) => member.configuration),
     ];
     const gateways = rankNames(`gateways ${this.#ticks >> 5}`, this.liveIds)
-      .slice(0, DIGEST_GATEWAYS);
+      .slice(0, GATEWAYS_PER_DIGEST);
     return {
       region: this.#self.region,
       author: this.#self.id,
@@ -487,7 +535,10 @@
     const isOwn = digest.region === this.#self.region &&
       digest.author === this.#self.id;
     if (isOwn) return;
-    this.#newestHeard = Math.max(this.#newestHeard, digest.configuration[1]);
+    this.#newestConfiguration = Math.max(
+      this.#newestConfiguration,
+      digest.configuration[1],
+    );
     this.#digests.apply(digest, nowMs);
   }
 
@@ -496,7 +547,7 @@
     nowMs: number,
   ): readonly RegionDigest[] {
     const fresh = this.#digests.pickFresh(this.#self.id, nowMs, this.#random);
-    return [...own, ...fresh].slice(0, DIGESTS_PER_MESSAGE);
+    return [...own, ...fresh].slice(0, MAX_DIGESTS_PER_MESSAGE);
   }
 
   #createHeartbeat(
@@ -510,19 +561,22 @@
       sequence: ++this.#sequence,
       isLeaving: this.#isLeaving,
       configuration,
-      rumours: [...this.#rumours.values()].slice(-RUMOURS_PER_MESSAGE)
-        .map(({ rumour }) => rumour),
+      rumours: [...this.#gossip.values()].slice(-MAX_GOSSIP_PER_MESSAGE)
+        .map(({ gossip }) => gossip),
       digests,
     };
   }
 
-  #spread(rumour: Rumour): void {
-    this.#rumours.set(rumour.id, { rumour, ticksLeft: RUMOUR_TICKS });
+  #enqueueGossip(gossip: StatusGossip): void {
+    this.#gossip.set(gossip.id, {
+      gossip,
+      ticksLeft: GOSSIP_LIFETIME_TICKS,
+    });
   }
 
-  #ageRumours(): void {
-    this.#rumours.forEach((held, id) => {
-      if (--held.ticksLeft <= 0) this.#rumours.delete(id);
+  #expireGossip(): void {
+    this.#gossip.forEach((queued, id) => {
+      if (--queued.ticksLeft <= 0) this.#gossip.delete(id);
     });
   }
 }
@@ -531,6 +585,9 @@
   return status === "live" || status === "suspect" || status === "listed";
 }
 
-function toRumour(member: Member, status: Rumour["status"]): Rumour {
+function toGossip(
+  member: Member,
+  status: StatusGossip["status"],
+): StatusGossip {
   return { id: member.record.id, incarnation: member.incarnation, status };
 }
--- a/membership/mod.ts
+++ b/membership/mod.ts
@@ -1,6 +1,7 @@
 /**
- * Who is live, leaving or dead, which region has room, and which configuration
- * is in force where, from heartbeats of at most 2 KB a second.
+ * Tracks which instances are live, leaving or dead, how much free capacity each
+ * region has, and which configuration is in force where, by heartbeats of at most
+ * 2 KB per second.
  *
  * @example
  * ```ts
--- a/membership/rank.ts
+++ b/membership/rank.ts
@@ -1,13 +1,16 @@
 import { createHash } from "node:crypto";
 
 const cache = new Map<string, number>();
-/** Entries of about 100 bytes: request keys pass through, too, and must not pile up. */
+/**
+ * Maximum number of cached weights, of about 100 bytes each. Request keys are
+ * ranked, too, and would otherwise grow the cache without bound.
+ */
 const CACHE_LIMIT = 20_000;
 
 /**
  * Returns the weight of a name for a key, from 0 to 2^32 - 1, by SHA-256.
  *
- * @param key What is to be placed.
+ * @param key Key to assign.
  * @param name Candidate.
  */
 export function computeWeight(key: string, name: string): number {
@@ -21,14 +24,14 @@
 }
 
 /**
- * Returns the names in order of their rendezvous weight for a key. All who know
- * the same names agree on the order, and one name more or less moves only its
- * own share.
+ * Returns the names in descending order of their rendezvous weight for a key.
+ * Instances that know the same names agree on the order, and adding or removing a
+ * name moves only the keys of that name.
  *
  * Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
  * rates", 1998.
  *
- * @param key What is to be placed.
+ * @param key Key to assign.
  * @param names Candidates.
  */
 export function rankNames<Name extends string>(
--- a/membership/region_digests.ts
+++ b/membership/region_digests.ts
@@ -5,41 +5,41 @@
 /** How long a digest counts as fresh, in milliseconds. */
 export const DIGEST_FRESH_MS = 12_000;
 
-interface HeldDigest {
+interface StoredDigest {
   readonly digest: RegionDigest;
   readonly receivedMs: number;
 }
 
-/** A digest and its age. */
+/** A region digest with its age. */
 export interface AgedDigest {
   readonly digest: RegionDigest;
-  /** Since it was received, in milliseconds. */
+  /** Time since the digest was received, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What regions have told of themselves, by each of their authors. */
+/** The last digest of each region and author. */
 export class RegionDigests {
-  readonly #held = new Map<string, HeldDigest>();
+  readonly #latest = new Map<string, StoredDigest>();
 
-  /** Keeps a digest, if it is newer than the last of its author. */
+  /** Stores a digest if it is newer than the last one of its author. */
   apply(digest: RegionDigest, nowMs: number): void {
-    const known = this.#held.get(toKey(digest))?.digest;
+    const known = this.#latest.get(toKey(digest))?.digest;
     const isNewer = known === undefined ||
       digest.incarnation > known.incarnation ||
       (digest.incarnation === known.incarnation &&
         digest.sequence > known.sequence);
-    if (isNewer) this.#held.set(toKey(digest), { digest, receivedMs: nowMs });
+    if (isNewer) this.#latest.set(toKey(digest), { digest, receivedMs: nowMs });
   }
 
-  /** Returns the newest digest of each region but one. */
+  /** Returns the newest digest of each region except the given one. */
   readNewest(except: RegionId, nowMs: number): readonly AgedDigest[] {
-    const newest = new Map<RegionId, HeldDigest>();
-    this.#held.forEach((held) => {
-      const { region } = held.digest;
+    const newest = new Map<RegionId, StoredDigest>();
+    this.#latest.forEach((stored) => {
+      const { region } = stored.digest;
       const known = newest.get(region);
       if (region === except) return;
-      if (known === undefined || held.receivedMs > known.receivedMs) {
-        newest.set(region, held);
+      if (known === undefined || stored.receivedMs > known.receivedMs) {
+        newest.set(region, stored);
       }
     });
     return [...newest.values()].map(({ digest, receivedMs }) => ({
@@ -48,21 +48,21 @@
     }));
   }
 
-  /** Returns all gateways that a region has named. */
+  /** Returns the gateways that the digests of a region name. */
   listGateways(region: RegionId): readonly InstanceId[] {
-    return [...this.#held.values()].filter(({ digest }) =>
+    return [...this.#latest.values()].filter(({ digest }) =>
       digest.region === region
     )
       .flatMap(({ digest }) => digest.gateways);
   }
 
-  /** Returns fresh digests of other authors, in random order. */
+  /** Returns the fresh digests of authors other than this instance, in random order. */
   pickFresh(
     self: InstanceId,
     nowMs: number,
     random: Random,
   ): readonly RegionDigest[] {
-    return [...this.#held.values()]
+    return [...this.#latest.values()]
       .filter(({ digest, receivedMs }) =>
         digest.author !== self && nowMs - receivedMs < DIGEST_FRESH_MS
       )
