--- a/fleet/encode_report.ts
+++ b/fleet/encode_report.ts
@@ -9,7 +9,7 @@
 } from "../ids/mod.ts";
 import type {
   FleetReport,
-  MemberNews,
+  MemberGossip,
   MemberRecord,
   MemberState,
   ReportedLimit,
@@ -19,7 +19,7 @@
 import type { ReportedUse } from "../admission/mod.ts";
 import type { ReportedEnds } from "../quarantine/mod.ts";
 
-/** Method of the JSON-RPC notification that carries a report. */
+/** Method of the JSON-RPC notification that contains a report. */
 const METHOD = "fleet.report";
 const SCOPES: readonly FleetReport["scope"][] = [
   "instance",
@@ -27,18 +27,19 @@
   "summary",
 ];
 /**
- * First byte of a compressed report, which text never begins with. The echo follows
- * in four bytes, outside of what is compressed once for all receivers.
+ * First byte of a compressed report, with which a text report never begins. Four bytes
+ * with the echo follow. The echo differs by receiver and precedes the compressed bytes,
+ * which are the same for all receivers and are compressed only once.
  */
-const COMPRESSED = 1;
-const COMPRESSED_HEAD_BYTES = 5;
-/** Most bytes of a report: far more than a region of hundreds of instances fills. */
+const COMPRESSED_MARKER = 1;
+const COMPRESSED_HEADER_BYTES = 5;
+/** Maximum size of a decompressed report: far more than a region of hundreds of instances needs. */
 const MAX_REPORT_BYTES = 262_144;
-/** What a sender asks for, one bit each. */
-const WANTS_NEWS = 1;
+/** Bits of the parameter that holds the sender's requests. */
+const WANTS_GOSSIP = 1;
 const WANTS_SUMMARY = 2;
-// Instances of earlier versions know the first three; to them a lingering one is neither
-// ready nor leaving, so that they name it to nobody.
+// Encoded by index. Instances of earlier versions know only the first three: to them, a
+// lingering instance is neither ready nor leaving, so that they name it to nobody.
 const STATES: readonly MemberState[] = [
   "starting",
   "ready",
@@ -46,8 +47,8 @@
   "lingering",
 ];
 
-// Rows in place of objects: reports go out many times a second, and bytes
-// between failure domains and regions are paid for.
+// Rows are smaller than objects: reports are sent many times per second, and traffic
+// between failure domains and regions is charged.
 type MemberRow = readonly [
   id: string,
   incarnation: string,
@@ -58,13 +59,13 @@
 ];
 
 /**
- * Returns a report as a JSON-RPC 2.0 notification.
+ * Encodes a report as a JSON-RPC 2.0 notification.
  *
- * @param report What to tell.
+ * @param report Report to encode.
  */
 export function encodeReport(report: FleetReport): Buffer {
   const params = [
-    toMemberRow(report.from),
+    encodeMemberRow(report.from),
     report.sequence,
     SCOPES.indexOf(report.scope),
     report.known.configurationVersion,
@@ -82,13 +83,13 @@
       tokens,
     ]),
     report.news.map(({ member, ageMs }) => [
-      ...toMemberRow(member),
+      ...encodeMemberRow(member),
       Math.round(ageMs),
     ]),
-    (report.wantsNews ? WANTS_NEWS : 0) |
+    (report.wantsNews ? WANTS_GOSSIP : 0) |
     (report.wantsSummary ? WANTS_SUMMARY : 0),
-    // Most reports have none: they need no place for them.
-    ...encodeRare(report),
+    // Most reports have none of these parameters, so that they are omitted where possible.
+    ...encodeOptionalParams(report),
   ];
   return Buffer.from(
     JSON.stringify({ jsonrpc: "2.0", method: METHOD, params }),
@@ -96,54 +97,57 @@
 }
 
 /**
- * Returns a report compressed, for many receivers: names of servers and members
- * come again and again in it.
+ * Encodes and compresses a report for many receivers. It compresses well because it
+ * repeats the names of servers and members.
  *
- * @param report What to tell.
+ * @param report Report to encode.
  */
 export function compressReport(report: FleetReport): Buffer {
   return deflateRawSync(encodeReport(report));
 }
 
 /**
- * Returns what stands before a compressed report.
+ * Returns the header that precedes a compressed report.
  *
- * @param echo The receiver's own report that a summary counts; 0: none.
+ * @param echo Sequence number of the receiver's report that a summary includes; 0: none.
  */
 export function encodeCompressedHead(echo: number): Buffer {
-  const head = Buffer.alloc(COMPRESSED_HEAD_BYTES);
-  head.writeUInt8(COMPRESSED);
+  const head = Buffer.alloc(COMPRESSED_HEADER_BYTES);
+  head.writeUInt8(COMPRESSED_MARKER);
   head.writeUInt32BE(echo, 1);
   return head;
 }
 
 /**
- * Returns the report in a datagram, or `undefined` where it holds none.
+ * Decodes the report in a datagram. Returns `undefined` if the datagram contains none.
  *
- * @param datagram As received.
+ * @param datagram Datagram as received.
  */
 export function decodeReport(datagram: Buffer): FleetReport | undefined {
   try {
-    if (datagram[0] !== COMPRESSED) return parseReport(datagram);
+    if (datagram[0] !== COMPRESSED_MARKER) return parseReport(datagram);
     const report = parseReport(
-      inflateRawSync(datagram.subarray(COMPRESSED_HEAD_BYTES), {
+      inflateRawSync(datagram.subarray(COMPRESSED_HEADER_BYTES), {
         maxOutputLength: MAX_REPORT_BYTES,
       }),
     );
     return report && { ...report, echo: datagram.readUInt32BE(1) };
   } catch (error) {
-    if (isNoReport(error)) return undefined;
+    if (isMalformedReportError(error)) return undefined;
     throw error;
   }
 }
 
 function parseReport(text: Buffer): FleetReport | undefined {
   const message = JSON.parse(text.toString("utf8"));
-  return message.method === METHOD ? fromParams(message.params) : undefined;
+  return message.method === METHOD ? decodeParams(message.params) : undefined;
 }
 
-/** Whatever reaches the port may be no report; a bug of ours is none of these. */
-function isNoReport(error: unknown): boolean {
+/**
+ * Returns whether an error means that the bytes are no report, since any bytes may reach
+ * the port. Errors of other kinds are bugs.
+ */
+function isMalformedReportError(error: unknown): boolean {
   const code = (error as { readonly code?: unknown }).code;
   return error instanceof SyntaxError || error instanceof TypeError ||
     error instanceof RangeError ||
@@ -151,7 +155,7 @@
 }
 
 // deno-lint-ignore no-explicit-any
-function fromParams(params: any): FleetReport {
+function decodeParams(params: any): FleetReport {
   const [
     from,
     sequence,
@@ -161,16 +165,16 @@
     isStoreLost,
     loads,
     prefixes,
-    news,
-    wants,
-    // Instances of earlier versions say nothing here.
-    ends = [],
-    uses = [],
+    gossip,
+    requests,
+    // Absent in reports of earlier versions.
+    crashes = [],
+    usage = [],
     limits = [],
     storeEra = 0,
   ] = params;
   return {
-    from: fromMemberRow(from),
+    from: decodeMemberRow(from),
     sequence: toNumber(sequence),
     scope: SCOPES[scope] ?? "instance",
     known: {
@@ -181,18 +185,18 @@
       },
       isStoreLost: isStoreLost === 1,
     },
-    loads: loads.map(fromLoadRow),
-    prefixes: prefixes.map(fromPrefixRow),
-    news: news.map(fromNewsRow),
-    wantsNews: (toNumber(wants) & WANTS_NEWS) > 0,
-    wantsSummary: (toNumber(wants) & WANTS_SUMMARY) > 0,
-    ...(ends.length > 0 ? { ends: ends.map(fromEndsRow) } : {}),
-    ...(uses.length > 0 ? { uses: uses.map(fromUseRow) } : {}),
-    ...(limits.length > 0 ? { limits: limits.map(fromLimitRow) } : {}),
+    loads: loads.map(decodeLoadRow),
+    prefixes: prefixes.map(decodePrefixRow),
+    news: gossip.map(decodeGossipRow),
+    wantsNews: (toNumber(requests) & WANTS_GOSSIP) > 0,
+    wantsSummary: (toNumber(requests) & WANTS_SUMMARY) > 0,
+    ...(crashes.length > 0 ? { ends: crashes.map(decodeCrashRow) } : {}),
+    ...(usage.length > 0 ? { uses: usage.map(decodeUsageRow) } : {}),
+    ...(limits.length > 0 ? { limits: limits.map(decodeLimitRow) } : {}),
   };
 }
 
-function toMemberRow(member: MemberRecord): MemberRow {
+function encodeMemberRow(member: MemberRecord): MemberRow {
   const { id, incarnation, address, region, failureDomain, state } = member;
   return [
     id,
@@ -204,10 +208,10 @@
   ];
 }
 
-function fromMemberRow(row: MemberRow): MemberRecord {
+function decodeMemberRow(row: MemberRow): MemberRecord {
   const [id, incarnation, address, region, failureDomain, state] = row;
   const known = STATES[state];
-  if (known === undefined) throw new TypeError(`Unknown state ${state}`);
+  if (known === undefined) throw new TypeError(`Wanted a state, got ${state}`);
   return {
     id: toInstanceId(toText(id)),
     incarnation: toText(incarnation),
@@ -218,7 +222,7 @@
   };
 }
 
-function fromLoadRow(
+function decodeLoadRow(
   row: readonly [string, number, number, number],
 ): ReportedLoad {
   const [server, calls, pendingTokens, memoryTokens] = row;
@@ -230,7 +234,9 @@
   };
 }
 
-function fromPrefixRow(row: readonly [string, string, number]): ReportedPrefix {
+function decodePrefixRow(
+  row: readonly [string, string, number],
+): ReportedPrefix {
   const [server, part, tokens] = row;
   return {
     server: toBackendId(toText(server)),
@@ -239,10 +245,10 @@
   };
 }
 
-function fromNewsRow(row: readonly [...MemberRow, number]): MemberNews {
+function decodeGossipRow(row: readonly [...MemberRow, number]): MemberGossip {
   const [id, incarnation, address, region, failureDomain, state, ageMs] = row;
   return {
-    member: fromMemberRow([
+    member: decodeMemberRow([
       id,
       incarnation,
       address,
@@ -254,14 +260,17 @@
   };
 }
 
-/** Ends, uses, limits and the store's era; what is empty behind the last that is not is left out. */
-function encodeRare(
-  { ends = [], known, limits = [], uses = [] }: FleetReport,
+/**
+ * Returns the parameters for crashes, usage, limits and the store's era. Empty ones at
+ * the end are omitted.
+ */
+function encodeOptionalParams(
+  { ends: crashes = [], known, limits = [], uses: usage = [] }: FleetReport,
 ): readonly unknown[] {
   const lists = [
-    ends.map(toEndsRow),
-    uses.map(toUseRow),
-    limits.map(toLimitRow),
+    crashes.map(encodeCrashRow),
+    usage.map(encodeUsageRow),
+    limits.map(encodeLimitRow),
   ];
   const { era } = known.store;
   if (era > 0) return [...lists, era];
@@ -269,18 +278,18 @@
   return lists.slice(0, last + 1);
 }
 
-/** A limit that ended stands as `null`. */
+/** A limit that is no longer advertised is encoded as `null`. */
 type LimitRow = readonly [
   server: string,
   perSecond: number | null,
   ageMs: number,
 ];
 
-function toLimitRow({ ageMs, perSecond, server }: ReportedLimit): LimitRow {
+function encodeLimitRow({ ageMs, perSecond, server }: ReportedLimit): LimitRow {
   return [server, perSecond ?? null, Math.round(ageMs)];
 }
 
-function fromLimitRow([server, perSecond, ageMs]: LimitRow): ReportedLimit {
+function decodeLimitRow([server, perSecond, ageMs]: LimitRow): ReportedLimit {
   return {
     server: toBackendId(toText(server)),
     perSecond: perSecond === null ? undefined : toNumber(perSecond),
@@ -288,13 +297,13 @@
   };
 }
 
-type UseRow = readonly [team: string, used: number, asked: number];
+type UsageRow = readonly [team: string, used: number, asked: number];
 
-function toUseRow({ asked, team, used }: ReportedUse): UseRow {
+function encodeUsageRow({ asked, team, used }: ReportedUse): UsageRow {
   return [team, Math.round(used), Math.round(asked)];
 }
 
-function fromUseRow([team, used, asked]: UseRow): ReportedUse {
+function decodeUsageRow([team, used, asked]: UsageRow): ReportedUse {
   return {
     team: toTeamId(toText(team)),
     used: Math.max(0, toNumber(used)),
@@ -302,13 +311,13 @@
   };
 }
 
-type EndsRow = readonly [call: string, ageMs: number, ...servers: string[]];
+type CrashRow = readonly [call: string, ageMs: number, ...servers: string[]];
 
-function toEndsRow({ ageMs, call, servers }: ReportedEnds): EndsRow {
+function encodeCrashRow({ ageMs, call, servers }: ReportedEnds): CrashRow {
   return [call, Math.round(ageMs), ...servers];
 }
 
-function fromEndsRow([call, ageMs, ...servers]: EndsRow): ReportedEnds {
+function decodeCrashRow([call, ageMs, ...servers]: CrashRow): ReportedEnds {
   return {
     call: toCallFingerprint(toText(call)),
     ageMs: Math.max(0, toNumber(ageMs)),
@@ -318,10 +327,12 @@
 
 function toNumber(value: unknown): number {
   if (typeof value === "number" && Number.isFinite(value)) return value;
-  throw new TypeError(`Wanted a number, got ${typeof value}`);
+  throw new TypeError(
+    `Wanted a finite number in a report, got ${typeof value}`,
+  );
 }
 
 function toText(value: unknown): string {
   if (typeof value === "string") return value;
-  throw new TypeError(`Wanted a text, got ${typeof value}`);
+  throw new TypeError(`Wanted a string in a report, got ${typeof value}`);
 }
--- a/fleet/fleet_report.ts
+++ b/fleet/fleet_report.ts
@@ -9,20 +9,21 @@
 import type { StorePosition } from "../store/mod.ts";
 
 /**
- * Whether an instance takes calls: not yet, all, none after a few seconds, or, while it
- * leaves and its region has no other, those that end before it does.
+ * Whether an instance accepts calls. A starting one does not yet; a ready one accepts
+ * all; a leaving one stops after a few seconds; a lingering one, which leaves a region
+ * that has no other instance, accepts those that complete before it stops.
  */
 export type MemberState = "starting" | "ready" | "leaving" | "lingering";
 
-/** Whether an instance ends soon. */
+/** Returns whether an instance in this state shuts down soon. */
 export function isLeaving(state: MemberState): boolean {
   return state === "leaving" || state === "lingering";
 }
 
-/** What an instance says of itself. */
+/** Identity, addresses and state that an instance reports of itself. */
 export interface MemberRecord {
   readonly id: InstanceId;
-  /** Names one start of the process. */
+  /** Identifies one start of the process. */
   readonly incarnation: string;
   /** IP address and port on which other instances reach it. */
   readonly address: string;
@@ -31,98 +32,108 @@
   readonly state: MemberState;
 }
 
-/** A member as a third instance knows it. */
-export interface MemberNews {
+/** A member as known to another instance, which passes it on. */
+export interface MemberGossip {
   readonly member: MemberRecord;
-  /** Time since it was heard from, in milliseconds. */
+  /** Time since it was last known to run, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What calls in flight hold at one backend server. */
+/** Load of one backend server by calls in flight. */
 export interface ServerLoad {
   /** Calls in flight. */
   readonly calls: number;
-  /** Prompt tokens that the server has yet to read. */
+  /** Prompt tokens that the server has yet to process. */
   readonly pendingTokens: number;
-  /** Tokens of its memory that the calls hold or will hold. */
+  /** Memory that the calls occupy or will occupy, in tokens. */
   readonly memoryTokens: number;
 }
 
-/** Load of one server, as a report carries it. */
+/** Load of one server in a report. */
 export interface ReportedLoad extends ServerLoad {
   readonly server: BackendId;
 }
 
-/** A prompt part that a server has just been sent, or several that nobody shares. */
+/**
+ * A prompt part recently sent to a server, or the sum of several that no other call
+ * begins with.
+ */
 export interface ReportedPrefix {
   readonly server: BackendId;
-  /** Identity of the part with all parts before it; `undefined`: no other call begins with it. */
+  /** Identity of the part and all parts before it; `undefined`: no other call begins with it. */
   readonly part: string | undefined;
   readonly tokens: number;
 }
 
-/** A limit that a server has named, as a report carries it. */
+/** Rate limit advertised by a server, in a report. */
 export interface ReportedLimit {
   readonly server: BackendId;
-  /** Calls a second from all instances together; `undefined`: it names none any more. */
+  /**
+   * Calls per second of all instances together; `undefined`: the server no longer
+   * advertises a limit.
+   */
   readonly perSecond: number | undefined;
-  /** Time since the server said so, in milliseconds. */
+  /** Time since the server advertised it, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** How much of what lies in the store an instance knows. */
+/** How up to date an instance is with the store. */
 export interface KnownState {
   /** Version of the configuration in force; 0: none. */
   readonly configurationVersion: number;
-  /** Up to where changes of the store were taken in. */
+  /** Position in the store up to which changes have been applied. */
   readonly store: StorePosition;
-  /** Whether the store has not answered this instance lately. */
+  /** Whether the store has not answered the instance recently. */
   readonly isStoreLost: boolean;
 }
 
-/** What one instance tells others, several times a second. */
+/** Report that an instance sends to others several times per second. */
 export interface FleetReport {
   readonly from: MemberRecord;
-  /** Grows with each report of one incarnation. */
+  /** Sequence number, which grows with each report of an incarnation. */
   readonly sequence: number;
   /**
-   * Whose calls the loads count: the sender's, those of its region, told to another
-   * one, or those of the region that both belong to.
+   * Whose calls the loads count: `instance`: the sender's; `region`: those of its
+   * region, sent to another region; `summary`: those of its region, sent to members of
+   * the same region.
    */
   readonly scope: "instance" | "region" | "summary";
   readonly known: KnownState;
   readonly loads: readonly ReportedLoad[];
   readonly prefixes: readonly ReportedPrefix[];
-  readonly news: readonly MemberNews[];
-  /** Calls under which servers ended. Default: none. */
+  readonly news: readonly MemberGossip[];
+  /** Reports of server crashes during calls. Default: none. */
   readonly ends?: readonly ReportedEnds[];
-  /** Use of teams, by those whose loads are counted. Default: none. */
+  /** Usage of teams at the instances that `scope` names. Default: none. */
   readonly uses?: readonly ReportedUse[];
-  /** Limits that servers of the sender's region have named. Default: none. */
+  /** Limits that servers of the sender's region advertise. Default: none. */
   readonly limits?: readonly ReportedLimit[];
-  /** Whether the sender asks for the members that the receiver knows. */
+  /** Whether the sender requests the members that the receiver knows. */
   readonly wantsNews: boolean;
-  /** Whether the sender gets no summaries of its region, which is a large one. Default: no. */
+  /** Whether the sender belongs to a large region and receives no summaries of it. Default: no. */
   readonly wantsSummary?: boolean;
   /**
-   * The receiver's own report that a summary counts, by its number. Default: 0,
-   * none.
+   * Sequence number of the receiver's own report that a summary includes. Default:
+   * 0, none.
    */
   readonly echo?: number;
 }
 
-/** How reports are sent. */
+/** Options for sending a report. */
 export interface SendReportOptions {
-  /** Echo for each address, in the same order. Default: none. */
+  /** Echo for each address, in the order of the addresses. Default: none. */
   readonly echoes?: readonly number[];
   /**
-   * Whether the report is compressed: one that goes to many members of a region.
-   * Default: no, which instances of earlier versions understand.
+   * Whether to compress the report, for one that goes to many members of a region.
+   * Default: no, since instances of earlier versions read no compressed reports.
    */
   readonly isCompressed?: boolean;
 }
 
-/** Sends a report to other instances, by their addresses; what is lost is made up for by the next. */
+/**
+ * Sends a report to the instances at some addresses. A lost report is not sent again:
+ * the next one replaces it.
+ */
 export type SendReport = (
   report: FleetReport,
   addresses: readonly string[],
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -3,177 +3,196 @@
   type FleetReport,
   isLeaving,
   type KnownState,
-  type MemberNews,
+  type MemberGossip,
   type MemberRecord,
   type MemberState,
 } from "./fleet_report.ts";
 import type { RegionCount } from "../admission/mod.ts";
 import { comparePositions } from "../store/mod.ts";
 import type { LoadBoard } from "./load_board.ts";
-import { UseBoard } from "./use_board.ts";
-import { type NearMember, SUMMARY_LATE_MS } from "./plan_reports.ts";
+import { TeamUsageTracker } from "./use_board.ts";
+import { type ReportPeer, SUMMARY_TIMEOUT_MS } from "./plan_reports.ts";
 import {
   pickRelays,
-  pickSpeakers,
+  pickRepresentatives,
   type RelayCandidate,
   RELAYS_PER_REGION,
 } from "./pick_relays.ts";
 
 /**
- * Silence after which a member of the own region is taken as gone, in
+ * Silence after which a member of the local region is considered dead, in
  * milliseconds: eight reports in a row.
  */
-export const NEAR_SILENCE_MS = 1_200;
+export const LOCAL_MEMBER_TIMEOUT_MS = 1_200;
 /**
- * Silence after which a member of another region is taken as gone: the same,
- * and two reports of a region between which its news wait.
+ * Silence after which a member of a remote region is considered dead, in
+ * milliseconds: the silence for a local member, plus two reports of a region, since
+ * gossip about its members waits for the next report.
  */
-export const FAR_SILENCE_MS = 2_500;
+export const REMOTE_MEMBER_TIMEOUT_MS = 2_500;
 /**
- * Silence after which a member is taken as gone though nobody is there to tell of
- * it, in milliseconds. Without summaries, members of a large region hear nothing of
- * each other: before the next aggregator has begun, which takes up to 1.7 s, they
- * must not take each other as gone, or the region falls apart.
+ * Silence after which a member is considered dead while no aggregator sends summaries,
+ * in milliseconds. Without summaries, members of a large region receive no reports
+ * about each other. Until the next aggregator has begun, which takes up to 1.7 s, they
+ * must not consider each other dead, or the whole region loses its members.
  */
-const UNTOLD_SILENCE_MS = 4_000;
-/** Pause between summaries from which on members are judged anew, in milliseconds: four of them. */
-const SUMMARY_PAUSE_MS = 600;
+const MAX_SILENCE_MS = 4_000;
 /**
- * How much longer than the last one heard of its region a member may have been
- * silent to be sent calls, in milliseconds: four reports. News of a whole region
- * come late together; a member that stands still falls behind the others.
+ * Gap between summaries after which the silence of members is counted from the next
+ * summary on, in milliseconds: four summary intervals.
  */
-export const BEHIND_MS = 600;
+const MAX_SUMMARY_GAP_MS = 600;
 /**
- * How long the directory may name an instance that leaves, where no other of its
- * region takes calls, in milliseconds. It takes calls for 2.5 s, and is heard to
- * leave a little later. What it refuses after that has not run and may come again.
+ * How much longer a member may have been silent than the member of its region last
+ * known to run, to still be sent calls, in milliseconds: four reports. Delayed reports
+ * of a region delay the gossip about all its members alike, whereas a stalled member
+ * falls behind the others.
  */
-const LEAVING_NAMED_MS = 2_300;
-/** Silence after which a member is forgotten, in milliseconds. */
-const FORGET_MS = 30_000;
+export const MAX_LAG_MS = 600;
 /**
- * Time after the start in which an instance does not yet count on knowing who
- * shares bounds with it, in milliseconds: two rounds of greetings.
+ * How long the directory may name a leaving instance of a region in which no other
+ * instance accepts calls, in milliseconds. A leaving instance accepts calls for 2.5 s,
+ * and others learn a little later that it leaves. Calls that it refuses afterwards have
+ * not run and may be retried.
  */
-const SETTLE_MS = 1_000;
+const LEAVING_LISTED_MS = 2_300;
+/** Silence after which a member is removed, in milliseconds. */
+const REMOVE_AFTER_MS = 30_000;
+/**
+ * Time after the start during which an instance may not yet know all instances that
+ * share limits with it, in milliseconds: two rounds of requests for members.
+ */
+const STARTUP_SETTLE_MS = 1_000;
 
-/** When what has not happened yet did, on any clock. */
+/** Time of an event that has not happened yet. */
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** A member that is taken as running. */
-export interface SeenMember extends NearMember {
-  /** Number of the last report that it sent here itself; 0: none. */
+/** A member that is considered live, with what is known of it. */
+export interface SeenMember extends ReportPeer {
+  /** Sequence number of the last report received from the member itself; 0: none. */
   readonly sequence: number;
 }
 
-interface Seen {
+interface MemberEntry {
   member: MemberRecord;
-  /** When it was last known to run, on the own clock. */
-  heardMs: number;
-  /** Sequence of its last own report, which lets older ones be dropped. */
+  /** When it was last known to run, in milliseconds on this instance's clock. */
+  lastSeenMs: number;
+  /** Sequence number of the last report from the member itself; older ones are dropped. */
   sequence: number;
   known: KnownState | undefined;
-  /** When its last summary came, on the own clock. */
-  summaryMs: number;
-  /** Whether it said in its last report that it gets no summaries. */
+  /** When its last summary was received, in milliseconds on this instance's clock. */
+  lastSummaryMs: number;
+  /** Whether its last report said that it receives no summaries. */
   wantsSummary: boolean;
-  /** Whether the last word of it came in a summary. */
-  isTold: boolean;
-  /** When it was first heard to leave; `undefined`: it does not. */
+  /** Whether a summary has named it since the last report from the member itself. */
+  isIndirect: boolean;
+  /** Since when it has been known to leave, in milliseconds; `undefined`: it does not. */
   leavingSinceMs: number | undefined;
 }
 
-/** What a view is created from. */
+/** Constructor arguments of {@linkcode FleetView}. */
 export interface FleetViewParts {
   readonly self: Omit<MemberRecord, "state">;
   readonly loads: LoadBoard;
-  /** When this instance started, on the own clock. Default: long ago. */
+  /** When this instance started, in milliseconds on its clock. Default: long ago. */
   readonly startMs?: number;
 }
 
 /**
- * Who runs where and how loaded the servers are, from the reports of all
- * instances. Reports that carry loads to the whole region several times a
- * second serve as heartbeats, too: their silence is the sign of a failure.
+ * Tracks which instances run in which region and the loads of servers, from the reports
+ * of all instances. Reports with loads are sent to the whole region several times per
+ * second and also serve as heartbeats: an instance that stops sending them is considered
+ * dead.
  */
 export class FleetView {
-  /** What the other instances say of the use of teams. */
-  readonly uses: UseBoard;
+  /** Usage of teams as reported by other instances. */
+  readonly uses: TeamUsageTracker;
   readonly #self: Omit<MemberRecord, "state">;
   readonly #loads: LoadBoard;
-  readonly #seen = new Map<InstanceId, Seen>();
+  readonly #members = new Map<InstanceId, MemberEntry>();
   readonly #startMs: number;
-  /** Since when summaries have come without a gap, and the last of them. */
+  /** Since when summaries have arrived without a gap, and when the last one arrived. */
   #summaries = { sinceMs: NEVER, lastMs: NEVER };
   #membershipVersion = 0;
-  #namedCount = 0;
+  #registeredCount = 0;
   #state: MemberState = "starting";
   #leavingSinceMs: number | undefined;
 
-  /** @param parts Own record and the board that reports feed. */
+  /** @param parts Record of this instance and the load tracker that reports update. */
   constructor(parts: FleetViewParts) {
     this.#self = parts.self;
     this.#loads = parts.loads;
-    this.uses = new UseBoard(parts.self.region);
+    this.uses = new TeamUsageTracker(parts.self.region);
     this.#startMs = parts.startMs ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Own record. */
+  /** Record of this instance. */
   get self(): MemberRecord {
     return { ...this.#self, state: this.#state };
   }
 
   /**
-   * Says from now on in each report whether this instance takes calls.
+   * Sets the state of this instance, which all reports from now on contain.
    *
-   * @param state What it does.
-   * @param nowMs Time now, needed for one that leaves.
+   * @param state New state.
+   * @param nowMs Current time, in milliseconds; needed when the instance leaves.
    */
   setState(state: MemberState, nowMs?: number): void {
     this.#state = state;
     this.#leavingSinceMs = isLeaving(state) ? nowMs : undefined;
   }
 
-  /** Returns the members that are taken as running, without this one. */
+  /** Returns the live members, without this instance. */
   listLive(nowMs: number): readonly MemberRecord[] {
-    return [...this.#seen.values()].filter((seen) => this.#isLive(seen, nowMs))
+    return [...this.#members.values()].filter((entry) =>
+      this.#isLive(entry, nowMs)
+    )
       .map(({ member }) => member);
   }
 
-  /** Returns who is taken as running, what each does and for how long it has been silent, for logs. */
+  /** Returns the live members with their states and how long each has been silent, for logs. */
   describe(nowMs: number): string {
     const own = `${this.#self.id} ${this.#state}`;
-    const others = this.listSeen(nowMs).map(({ member, silentMs }) =>
+    const others = this.listObservations(nowMs).map(({ member, silentMs }) =>
       `${member.id} ${member.state} ${Math.round(silentMs)}`
     );
     return [own, ...others].join(", ");
   }
 
-  /** Returns the other members of the own region that are taken as running, with what is known of them. */
+  /** Returns the other live members of the local region, with what is known of them. */
   listNearSeen(nowMs: number): readonly SeenMember[] {
-    return this.listSeen(nowMs)
+    return this.listObservations(nowMs)
       .filter(({ member }) => member.region === this.#self.region);
   }
 
-  /** Whether summaries of the own region come as often as they should. */
+  /** Whether summaries of the local region arrive in time. */
   hasSummaries(nowMs: number): boolean {
-    return nowMs - this.#summaries.lastMs < SUMMARY_LATE_MS;
-  }
-
-  /** Returns the members that are taken as running, with what is known of them. */
-  listSeen(nowMs: number): readonly SeenMember[] {
-    return [...this.#seen.values()].filter((seen) => this.#isLive(seen, nowMs))
-      .map(({ heardMs, member, sequence, summaryMs, wantsSummary }) => ({
+    return nowMs - this.#summaries.lastMs < SUMMARY_TIMEOUT_MS;
+  }
+
+  /** Returns the live members, without this instance, with what is known of them. */
+  listObservations(nowMs: number): readonly SeenMember[] {
+    return [...this.#members.values()].filter((entry) =>
+      this.#isLive(entry, nowMs)
+    )
+      .map((
+        {
+          lastSeenMs,
+          member,
+          sequence,
+          lastSummaryMs: summaryMs,
+          wantsSummary,
+        },
+      ) => ({
         member,
         sequence,
         wantsSummary,
-        silentMs: nowMs - heardMs,
-        isAggregating: nowMs - summaryMs < NEAR_SILENCE_MS,
+        silentMs: nowMs - lastSeenMs,
+        isAggregating: nowMs - summaryMs < LOCAL_MEMBER_TIMEOUT_MS,
       }));
   }
 
-  /** Returns the members of a region that take calls, this one included. */
+  /** Returns the ready members of a region, including this instance. */
   listReady(region: RegionId, nowMs: number): readonly MemberRecord[] {
     const others = this.listLive(nowMs).filter((member) =>
       member.region === region && member.state === "ready"
@@ -182,107 +201,125 @@
     return isSelf ? [this.self, ...others] : others;
   }
 
-  /** Returns the members of a region, this one included, that leave and still take calls. */
+  /** Returns the members of a region, including this instance, that leave and still accept calls. */
   listLeaving(region: RegionId, nowMs: number): readonly MemberRecord[] {
     const own = { member: this.self, leavingSinceMs: this.#leavingSinceMs };
-    const others = [...this.#seen.values()].filter((seen) =>
-      this.#isLive(seen, nowMs)
+    const others = [...this.#members.values()].filter((entry) =>
+      this.#isLive(entry, nowMs)
     );
     return [own, ...others].filter(({ leavingSinceMs, member }) =>
       member.region === region && leavingSinceMs !== undefined &&
       (member.state === "lingering" ||
-        nowMs - leavingSinceMs < LEAVING_NAMED_MS)
+        nowMs - leavingSinceMs < LEAVING_LISTED_MS)
     ).map(({ member }) => member);
   }
 
   /**
-   * Returns the members of another region that take calls, without those that
-   * fell behind the others: they may have stopped, though it is too early to take
-   * them as gone.
+   * Returns the ready members of a remote region, without those that have been silent
+   * for longer than the others. Such a member may have failed, though it is too early
+   * to consider it dead.
    */
   listFresh(region: RegionId, nowMs: number): readonly MemberRecord[] {
-    const ready = [...this.#seen.values()].filter((seen) =>
-      seen.member.region === region && seen.member.state === "ready" &&
-      this.#isLive(seen, nowMs)
+    const ready = [...this.#members.values()].filter((entry) =>
+      entry.member.region === region && entry.member.state === "ready" &&
+      this.#isLive(entry, nowMs)
     );
-    const lastMs = Math.max(...ready.map(({ heardMs }) => heardMs));
-    return ready.filter(({ heardMs }) => lastMs - heardMs < BEHIND_MS)
+    const lastMs = Math.max(...ready.map(({ lastSeenMs }) => lastSeenMs));
+    return ready.filter(({ lastSeenMs }) => lastMs - lastSeenMs < MAX_LAG_MS)
       .map(({ member }) => member);
   }
 
-  /** Returns the regions of which a member is known. */
+  /** Returns the regions with a known member. */
   listRegions(): readonly RegionId[] {
-    const known = [...this.#seen.values()].map(({ member }) => member.region);
+    const known = [...this.#members.values()].map(({ member }) =>
+      member.region
+    );
     return [...new Set([this.#self.region, ...known])];
   }
 
-  /** Grows with each change of who shares bounds. */
+  /** Version that grows with each change of the instances that share limits. */
   get membershipVersion(): number {
     return this.#membershipVersion;
   }
 
-  /** Whether this instance has run long enough to know who shares bounds with it. */
+  /** Whether this instance has run long enough to know the instances that share limits with it. */
   isSettled(nowMs: number): boolean {
-    return nowMs - this.#startMs >= SETTLE_MS;
+    return nowMs - this.#startMs >= STARTUP_SETTLE_MS;
   }
 
   /**
-   * Returns the instances that share a bound, in a region or everywhere. Who fell
-   * silent still counts for a while: behind a cut it uses its share, too.
+   * Returns the instances that share a limit, including this one. Instances that have
+   * become silent still count for a while: in a network partition, they continue to use
+   * their shares.
+   *
+   * @param region Region of the instances. Default: all regions.
    */
   listSharing(region?: RegionId): readonly InstanceId[] {
-    return [this.#self, ...[...this.#seen.values()].map(({ member }) => member)]
+    return [
+      this.#self,
+      ...[...this.#members.values()].map(({ member }) => member),
+    ]
       .filter((member) => region === undefined || member.region === region)
       .map(({ id }) => id);
   }
 
   /**
-   * Number of instances that share a bound, in a region or everywhere. Whoever
-   * has just started has heard of few: everywhere counts those that the store
-   * names, too.
+   * Returns the number of instances that share a limit, including this one. An instance
+   * that has just started knows few others, so that the number for all regions is at
+   * least that of the instances registered in the store.
+   *
+   * @param region Region of the instances. Default: all regions.
    */
   countSharing(region?: RegionId): number {
     const known = Math.max(1, this.listSharing(region).length);
-    return region === undefined ? Math.max(known, this.#namedCount) : known;
+    return region === undefined
+      ? Math.max(known, this.#registeredCount)
+      : known;
   }
 
-  /** Returns how many instances of each region share bounds, and how many of them run. */
+  /**
+   * Returns, for each region, the number of instances that share limits and how many of
+   * them are live.
+   */
   countRegions(nowMs: number): readonly RegionCount[] {
-    const seen = [...this.#seen.values()];
+    const entries = [...this.#members.values()];
     return this.listRegions().map((region) => {
       const own = region === this.#self.region ? 1 : 0;
-      const members = seen.filter(({ member }) => member.region === region);
-      const heard = members.filter((member) => this.#isLive(member, nowMs));
+      const members = entries.filter(({ member }) => member.region === region);
+      const live = members.filter((member) => this.#isLive(member, nowMs));
       return {
         region,
         known: own + members.length,
-        heard: own + heard.length,
+        heard: own + live.length,
       };
     });
   }
 
-  /** Number of instances that have an entry in the store, as it was told last. */
+  /** Number of instances with an entry in the store, as last set. */
   get namedCount(): number {
-    return this.#namedCount;
+    return this.#registeredCount;
   }
 
-  /** Takes the number of instances that have an entry in the store. */
+  /** Sets the number of instances with an entry in the store. */
   setNamedCount(count: number): void {
-    this.#namedCount = count;
+    this.#registeredCount = count;
   }
 
-  /** Number of instances that run anywhere. */
+  /** Returns the number of live instances in all regions, including this one. */
   countAll(nowMs: number): number {
     return this.listLive(nowMs).length + 1;
   }
 
   /**
-   * Returns the instances that know more of the store than this one, those on the
-   * shortest way first.
+   * Returns the live instances that are more up to date with the store than this one:
+   * first those of the same failure domain, then those of the same region.
+   *
+   * @param own How up to date this instance is.
+   * @param nowMs Current time, in milliseconds.
    */
   listAhead(own: KnownState, nowMs: number): readonly MemberRecord[] {
-    return [...this.#seen.values()]
-      .filter((seen) => this.#isLive(seen, nowMs))
+    return [...this.#members.values()]
+      .filter((entry) => this.#isLive(entry, nowMs))
       .filter(({ known }) => known !== undefined && isAhead(known, own))
       .map(({ member }) => member)
       .sort((a, b) => this.#computeDistance(a) - this.#computeDistance(b));
@@ -291,13 +328,13 @@
   /**
    * Whether this instance follows the store for its region.
    *
-   * @param own What it knows of the store.
-   * @param nowMs Time now.
+   * @param own How up to date this instance is with the store.
+   * @param nowMs Current time, in milliseconds.
    */
   isRelay(own: KnownState, nowMs: number): boolean {
     const self = { member: this.self, isStoreLost: own.isStoreLost };
-    const others = [...this.#seen.values()].filter((seen) =>
-      seen.member.region === this.#self.region && this.#isLive(seen, nowMs)
+    const others = [...this.#members.values()].filter((entry) =>
+      entry.member.region === this.#self.region && this.#isLive(entry, nowMs)
     ).map(({ member, known }): RelayCandidate => ({
       member,
       isStoreLost: known?.isStoreLost ?? false,
@@ -307,154 +344,157 @@
   }
 
   /**
-   * Takes a report.
+   * Applies a received report.
    *
-   * @param report From another instance.
-   * @param nowMs Time now.
-   * @returns Whether it is new; an old one changes nothing.
+   * @param report Report of another instance.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Whether the report is new; an old one changes nothing.
    */
   applyReport(report: FleetReport, nowMs: number): boolean {
     const { from, sequence } = report;
     if (from.id === this.#self.id) return false;
-    const seen = this.#seen.get(from.id);
-    const isOld = seen !== undefined &&
-      seen.member.incarnation === from.incarnation && sequence <= seen.sequence;
+    const entry = this.#members.get(from.id);
+    const isOld = entry !== undefined &&
+      entry.member.incarnation === from.incarnation &&
+      sequence <= entry.sequence;
     if (isOld) return false;
-    if (seen === undefined) this.#membershipVersion++;
-    this.#seen.set(from.id, {
+    if (entry === undefined) this.#membershipVersion++;
+    this.#members.set(from.id, {
       member: from,
-      heardMs: nowMs,
+      lastSeenMs: nowMs,
       sequence,
       known: report.known,
-      summaryMs: report.scope === "summary" ? nowMs : seen?.summaryMs ?? NEVER,
+      lastSummaryMs: report.scope === "summary"
+        ? nowMs
+        : entry?.lastSummaryMs ?? NEVER,
       wantsSummary: report.wantsSummary ?? false,
-      isTold: false,
-      leavingSinceMs: readLeavingSinceMs(seen, from, nowMs),
+      isIndirect: false,
+      leavingSinceMs: readLeavingSinceMs(entry, from, nowMs),
     });
-    report.news.forEach((news) => this.applyNews(news, nowMs));
-    if (report.scope === "summary") this.#noteSummary(report, nowMs);
+    report.news.forEach((gossip) => this.applyGossip(gossip, nowMs));
+    if (report.scope === "summary") this.#recordSummary(report, nowMs);
     this.#applyLoads(report);
     return true;
   }
 
   /**
-   * Takes what is said of a third instance.
+   * Applies gossip about another member.
    *
-   * @param news The member and how old the word is.
-   * @param nowMs Time now.
+   * @param gossip The member's record and its age.
+   * @param nowMs Current time, in milliseconds.
    */
-  applyNews(news: MemberNews, nowMs: number): void {
-    const { member, ageMs } = news;
+  applyGossip(gossip: MemberGossip, nowMs: number): void {
+    const { member, ageMs } = gossip;
     if (member.id === this.#self.id) return;
-    const heardMs = nowMs - ageMs;
-    const seen = this.#seen.get(member.id);
-    if (seen === undefined) {
+    const lastSeenMs = nowMs - ageMs;
+    const entry = this.#members.get(member.id);
+    if (entry === undefined) {
       this.#membershipVersion++;
-      this.#seen.set(member.id, {
+      this.#members.set(member.id, {
         member,
-        heardMs,
+        lastSeenMs,
         sequence: 0,
         known: undefined,
-        summaryMs: NEVER,
+        lastSummaryMs: NEVER,
         wantsSummary: false,
-        isTold: false,
-        leavingSinceMs: readLeavingSinceMs(undefined, member, heardMs),
+        isIndirect: false,
+        leavingSinceMs: readLeavingSinceMs(undefined, member, lastSeenMs),
       });
       return;
     }
-    if (heardMs <= seen.heardMs) return;
-    const isRestarted = seen.member.incarnation !== member.incarnation;
-    const hasLeft = isLeaving(seen.member.state) && !isRestarted;
-    seen.heardMs = heardMs;
-    if (isRestarted) seen.sequence = 0;
-    // Who says itself that it leaves does not come back in the same incarnation.
+    if (lastSeenMs <= entry.lastSeenMs) return;
+    const isRestarted = entry.member.incarnation !== member.incarnation;
+    const hasLeft = isLeaving(entry.member.state) && !isRestarted;
+    entry.lastSeenMs = lastSeenMs;
+    if (isRestarted) entry.sequence = 0;
+    // A member that leaves does not become ready again in the same incarnation.
     if (hasLeft && !isLeaving(member.state)) return;
-    seen.leavingSinceMs = readLeavingSinceMs(seen, member, heardMs);
-    seen.member = member;
+    entry.leavingSinceMs = readLeavingSinceMs(entry, member, lastSeenMs);
+    entry.member = member;
   }
 
-  /** Drops the loads of members that fell silent, and forgets them after a while. */
+  /** Removes the loads and usage of dead members, and after a while the members themselves. */
   sweep(nowMs: number): void {
-    if (nowMs - this.#summaries.lastMs >= NEAR_SILENCE_MS) {
+    if (nowMs - this.#summaries.lastMs >= LOCAL_MEMBER_TIMEOUT_MS) {
       this.dropSummary();
     }
-    this.#seen.forEach((seen, id) => {
-      if (this.#isLive(seen, nowMs)) return;
+    this.#members.forEach((entry, id) => {
+      if (this.#isLive(entry, nowMs)) return;
       this.#loads.removeReport(id);
       this.uses.removeInstance(id);
-      if (!this.#hasReporter(seen.member.region, nowMs)) {
-        this.#loads.removeReport(toRegionReporter(seen.member.region));
-        this.uses.removeRegion(seen.member.region);
+      if (!this.#hasLiveMember(entry.member.region, nowMs)) {
+        this.#loads.removeReport(toRegionReporter(entry.member.region));
+        this.uses.removeRegion(entry.member.region);
       }
-      if (nowMs - seen.heardMs <= FORGET_MS) return;
-      this.#seen.delete(id);
+      if (nowMs - entry.lastSeenMs <= REMOVE_AFTER_MS) return;
+      this.#members.delete(id);
       this.#membershipVersion++;
     });
   }
 
-  /** Goes back from the sums of an aggregator to what instances say themselves. */
+  /** Drops an aggregator's summary, so that the reports of the region's instances are used again. */
   dropSummary(): void {
     this.#loads.dropSummary();
     this.uses.dropSummary();
   }
 
   /**
-   * Returns this instance's place among those that speak for its region, from 0,
-   * or `undefined` where it is none of them.
+   * Returns the rank of this instance among the representatives of its region, from 0,
+   * or `undefined` if it is not one of them.
    */
   readReporterRank(nowMs: number): number | undefined {
-    const rank = pickSpeakers([this.self, ...this.listNear(nowMs)])
+    const rank = pickRepresentatives([this.self, ...this.listLocal(nowMs)])
       .findIndex(({ id }) => id === this.#self.id);
     return rank < 0 ? undefined : rank;
   }
 
   /**
-   * Returns the members of other regions that reports of this one go to. They
-   * pass them on in their regions.
+   * Returns the members of remote regions that receive reports of the local region and
+   * pass them on in their own regions.
    *
-   * @param perRegion How many in each region, up to those that speak for it.
-   * @param nowMs Time now.
+   * @param perRegion Number of members per region, at most that of its representatives.
+   * @param nowMs Current time, in milliseconds.
    */
   listReceivers(perRegion: number, nowMs: number): readonly MemberRecord[] {
     const live = this.listLive(nowMs);
     const regions = new Set(live.map(({ region }) => region));
     regions.delete(this.#self.region);
     return [...regions].flatMap((region) =>
-      pickSpeakers(live.filter((member) => member.region === region))
+      pickRepresentatives(live.filter((member) => member.region === region))
         .slice(0, Math.min(perRegion, RELAYS_PER_REGION))
     );
   }
 
-  /** Returns the other members of the own region that are taken as running. */
-  listNear(nowMs: number): readonly MemberRecord[] {
+  /** Returns the other live members of the local region. */
+  listLocal(nowMs: number): readonly MemberRecord[] {
     return this.listLive(nowMs)
       .filter(({ region }) => region === this.#self.region);
   }
 
-  /** Notes who is known to run by way of an aggregator, and for how long without a gap. */
-  #noteSummary({ news }: FleetReport, nowMs: number): void {
-    const isSeries = nowMs - this.#summaries.lastMs < SUMMARY_PAUSE_MS;
-    const sinceMs = isSeries ? this.#summaries.sinceMs : nowMs;
+  /** Records which members a summary names, and since when summaries have arrived without a gap. */
+  #recordSummary({ news }: FleetReport, nowMs: number): void {
+    const isContinuous = nowMs - this.#summaries.lastMs < MAX_SUMMARY_GAP_MS;
+    const sinceMs = isContinuous ? this.#summaries.sinceMs : nowMs;
     this.#summaries = { sinceMs, lastMs: nowMs };
     news.forEach(({ member: { id } }) => {
-      const seen = this.#seen.get(id);
-      if (seen !== undefined) seen.isTold = true;
+      const entry = this.#members.get(id);
+      if (entry !== undefined) entry.isIndirect = true;
     });
   }
 
   #applyLoads(report: FleetReport): void {
     const { from, loads, scope, uses = [] } = report;
-    const isNear = from.region === this.#self.region;
-    if (scope === "summary" && isNear) {
+    const isLocal = from.region === this.#self.region;
+    if (scope === "summary" && isLocal) {
       this.#loads.replaceSummary(loads, report.echo ?? 0);
       this.uses.replaceSummary(uses, report.echo ?? 0);
     }
-    if (scope === "instance" && isNear) {
+    if (scope === "instance" && isLocal) {
       this.#loads.replaceReport(from.id, { scope, loads });
       this.uses.replaceInstance(from.id, uses);
     }
-    // Two instances report one region: the later report replaces the earlier.
-    if (scope === "region" && !isNear) {
+    // Two representatives report on a region: the later report replaces the earlier one.
+    if (scope === "region" && !isLocal) {
       this.#loads.replaceReport(toRegionReporter(from.region), {
         scope,
         loads,
@@ -463,38 +503,43 @@
     }
   }
 
-  #hasReporter(region: RegionId, nowMs: number): boolean {
+  #hasLiveMember(region: RegionId, nowMs: number): boolean {
     return this.listLive(nowMs).some((member) => member.region === region);
   }
 
-  #isLive(seen: Seen, nowMs: number): boolean {
-    const isNear = seen.member.region === this.#self.region;
-    const silentMs = nowMs - seen.heardMs;
-    if (silentMs < (isNear ? NEAR_SILENCE_MS : FAR_SILENCE_MS)) return true;
-    if (!isNear || !seen.isTold || silentMs > UNTOLD_SILENCE_MS) return false;
+  #isLive(entry: MemberEntry, nowMs: number): boolean {
+    const isLocal = entry.member.region === this.#self.region;
+    const silentMs = nowMs - entry.lastSeenMs;
+    if (
+      silentMs < (isLocal ? LOCAL_MEMBER_TIMEOUT_MS : REMOTE_MEMBER_TIMEOUT_MS)
+    ) return true;
+    if (
+      !isLocal || !entry.isIndirect || silentMs > MAX_SILENCE_MS
+    ) return false;
     const { lastMs, sinceMs } = this.#summaries;
-    return lastMs - Math.max(sinceMs, seen.heardMs) < NEAR_SILENCE_MS;
+    return lastMs - Math.max(sinceMs, entry.lastSeenMs) <
+      LOCAL_MEMBER_TIMEOUT_MS;
   }
 
-  /** 0: the same failure domain; 1: the same region; 2: another one. */
+  /** Returns 0 for the same failure domain, 1 for the same region, 2 for a remote region. */
   #computeDistance({ failureDomain, region }: MemberRecord): number {
     if (region !== this.#self.region) return 2;
     return failureDomain === this.#self.failureDomain ? 0 : 1;
   }
 }
 
-/** Returns since when a member leaves, after one more word of it. */
+/** Returns since when a member has been leaving, given its newest record. */
 function readLeavingSinceMs(
-  before: Seen | undefined,
+  previous: MemberEntry | undefined,
   { incarnation, state }: MemberRecord,
-  heardMs: number,
+  lastSeenMs: number,
 ): number | undefined {
   if (!isLeaving(state)) return undefined;
-  const isSame = before?.member.incarnation === incarnation;
-  return (isSame ? before?.leavingSinceMs : undefined) ?? heardMs;
+  const isSame = previous?.member.incarnation === incarnation;
+  return (isSame ? previous?.leavingSinceMs : undefined) ?? lastSeenMs;
 }
 
-/** Whether an instance knows more of the store than another one. */
+/** Returns whether one instance is more up to date with the store than another one. */
 export function isAhead(known: KnownState, own: KnownState): boolean {
   return known.configurationVersion > own.configurationVersion ||
     comparePositions(known.store, own.store) > 0;
--- a/fleet/fleet_view_property_test.ts
+++ b/fleet/fleet_view_property_test.ts
@@ -4,16 +4,19 @@
 import { createReport } from "../tests/report_fixture.ts";
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import type { FleetReport, MemberRecord } from "./fleet_report.ts";
-import { FAR_SILENCE_MS, NEAR_SILENCE_MS } from "./fleet_view.ts";
+import {
+  LOCAL_MEMBER_TIMEOUT_MS,
+  REMOTE_MEMBER_TIMEOUT_MS,
+} from "./fleet_view.ts";
 import { LoadBoard } from "./load_board.ts";
 import { createFleet, createMember } from "../tests/member_fixture.ts";
 
 const NORTH = toRegionId("north");
 const SOUTH = toRegionId("south");
-/** Reports of a member from this number on say that it leaves. */
+/** Sequence number from which on a member's reports say that it leaves. */
 const LEAVES_AT = 6;
 
-/** One thing that reaches a view; messages may come late, twice or never. */
+/** Input of a view. Messages may arrive late, twice or not at all. */
 type Event =
   | { readonly kind: "report"; readonly who: number; readonly sequence: number }
   | {
@@ -45,14 +48,14 @@
   }),
 );
 
-/** A view with what a reader of the same events knows of each member. */
+/** A view, and a model of what the same events tell of each member. */
 class Run {
   readonly loads = new LoadBoard();
   readonly view = createFleet(createMember("self"), this.loads);
   readonly incarnations = MEMBERS.map(() => 1);
   /** Incarnation in which a member's own report said that it leaves. */
   readonly left = new Map<number, number>();
-  /** When a member was last known to run, by any word of it. */
+  /** When a member was last known to run, by its own report or by gossip. */
   readonly heardMs = new Map<number, number>();
   nowMs = 10_000;
   #sent = 0;
@@ -72,7 +75,7 @@
       case "news": {
         const { ageMs, by } = event;
         const member = this.createMember(event.who, event.sequence);
-        // Its own number is the newest, so that the news in it are taken.
+        // The sequence number is the newest, so that the report's gossip is applied.
         this.#applyReport(by, 1_000 + ++this.#sent, [{ member, ageMs }]);
         this.#note(event.who, this.nowMs - ageMs);
         return;
@@ -130,8 +133,8 @@
   );
 }
 
-describe("FleetView, whatever order words come in", () => {
-  it("never takes a member back that said that it leaves, before it starts again", () => {
+describe("FleetView, with reports and gossip in any order", () => {
+  it("never lists a leaving member as ready before it has restarted", () => {
     checkAfterEach((run) => {
       const ready = [NORTH, SOUTH].flatMap((region) =>
         run.view.listReady(region, run.nowMs)
@@ -143,17 +146,19 @@
     });
   });
 
-  it("never lists a member of whose running nobody has heard in time", () => {
+  it("never lists a member that has been silent for longer than the timeout", () => {
     checkAfterEach((run) => {
       run.view.listLive(run.nowMs).forEach(({ id, region }) => {
         const heardMs = run.heardMs.get(Number(id.slice(1))) ?? -Infinity;
-        const limitMs = region === NORTH ? NEAR_SILENCE_MS : FAR_SILENCE_MS;
+        const limitMs = region === NORTH
+          ? LOCAL_MEMBER_TIMEOUT_MS
+          : REMOTE_MEMBER_TIMEOUT_MS;
         assert.ok(run.nowMs - heardMs < limitMs);
       });
     });
   });
 
-  it("shares a bound with at least all that are listed", () => {
+  it("counts at least all live members among the instances that share a limit", () => {
     checkAfterEach((run) => {
       const live = run.view.listLive(run.nowMs);
       assert.ok(run.view.countSharing() >= live.length + 1);
@@ -162,7 +167,7 @@
     });
   });
 
-  it("names receivers and fresh members among those that it lists", () => {
+  it("picks receivers and responsive members among the live members only", () => {
     checkAfterEach((run) => {
       const live = new Set(run.view.listLive(run.nowMs).map(({ id }) => id));
       [
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -8,7 +8,11 @@
   encodeReport,
 } from "./encode_report.ts";
 import type { MemberRecord, MemberState } from "./fleet_report.ts";
-import { BEHIND_MS, FleetView, NEAR_SILENCE_MS } from "./fleet_view.ts";
+import {
+  FleetView,
+  LOCAL_MEMBER_TIMEOUT_MS,
+  MAX_LAG_MS,
+} from "./fleet_view.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import {
   createFleet,
@@ -37,18 +41,21 @@
 }
 
 describe("FleetView", () => {
-  it("takes members off that fall silent, and back on when they are heard", () => {
+  it("removes a silent member from the ready ones, and adds it again on its next report", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a"), 1), 0);
     assert.deepEqual(listNames(view.listReady(NORTH, 100)), ["a", "self"]);
-    assert.deepEqual(listNames(view.listReady(NORTH, NEAR_SILENCE_MS)), [
-      "self",
-    ]);
+    assert.deepEqual(
+      listNames(view.listReady(NORTH, LOCAL_MEMBER_TIMEOUT_MS)),
+      [
+        "self",
+      ],
+    );
     view.applyReport(createReport(createMember("a"), 2), 5_000);
     assert.deepEqual(listNames(view.listReady(NORTH, 5_100)), ["a", "self"]);
   });
 
-  it("takes a leaving member off, whatever others say of it later", () => {
+  it("removes a leaving member from the ready ones, even if later gossip calls it ready", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a"), 1), 0);
     view.applyReport(createReport(createMember("a", "leaving"), 2), 100);
@@ -57,7 +64,7 @@
     assert.deepEqual(listNames(view.listReady(NORTH, 200)), ["b", "self"]);
   });
 
-  it("takes a member back that has started again", () => {
+  it("lists a member that left as ready after it has restarted", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a", "leaving"), 9), 0);
     const again = createMember("a", "ready", { incarnation: "2" });
@@ -65,39 +72,43 @@
     assert.deepEqual(listNames(view.listReady(NORTH, 100)), ["a", "self"]);
   });
 
-  it("names a member that leaves while it takes calls, and heeds no older word of it", () => {
+  it("lists a leaving member as long as it accepts calls, and ignores older gossip about it", () => {
     const view = createView();
-    const hear = (state: MemberState, sequence: number, atMs: number) =>
+    const receive = (state: MemberState, sequence: number, atMs: number) =>
       view.applyReport(createReport(createMember("a", state), sequence), atMs);
     const listLeaving = (nowMs: number) =>
       listNames(view.listLeaving(NORTH, nowMs));
-    hear("ready", 1, 0);
-    hear("leaving", 2, 100);
+    receive("ready", 1, 0);
+    receive("leaving", 2, 100);
     assert.deepEqual(listLeaving(200), ["a"]);
-    hear("lingering", 3, 2_700);
+    receive("lingering", 3, 2_700);
     assert.deepEqual(listLeaving(2_800), ["a"]);
     const news = [{ member: createMember("a"), ageMs: 0 }];
     view.applyReport(createReport(createMember("b"), 1, { news }), 2_900);
     assert.deepEqual(listNames(view.listReady(NORTH, 2_900)), ["b", "self"]);
     assert.deepEqual(listLeaving(2_900), ["a"]);
-    hear("leaving", 4, 3_000);
+    receive("leaving", 4, 3_000);
     assert.deepEqual(listLeaving(3_000), []);
   });
 
-  it("hears from others that a member that leaves takes calls, or no longer", () => {
+  it("learns from gossip whether a leaving member still accepts calls", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a", "leaving"), 1), 0);
-    const tell = (state: MemberState, sequence: number, atMs: number) => {
+    const receiveGossip = (
+      state: MemberState,
+      sequence: number,
+      atMs: number,
+    ) => {
       const news = [{ member: createMember("a", state), ageMs: 0 }];
       const report = createReport(createMember("b"), sequence, { news });
       view.applyReport(report, atMs);
       return listNames(view.listLeaving(NORTH, atMs));
     };
-    assert.deepEqual(tell("lingering", 1, 3_000), ["a"]);
-    assert.deepEqual(tell("leaving", 2, 3_100), []);
+    assert.deepEqual(receiveGossip("lingering", 1, 3_000), ["a"]);
+    assert.deepEqual(receiveGossip("leaving", 2, 3_100), []);
   });
 
-  it("takes a member back that has started again after it lingered", () => {
+  it("lists a member that lingered as ready after it has restarted", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a", "lingering"), 9), 0);
     const again = createMember("a", "ready", { incarnation: "2" });
@@ -106,14 +117,14 @@
     assert.deepEqual(view.listLeaving(NORTH, 100), []);
   });
 
-  it("drops reports that come late", () => {
+  it("ignores a report that is older than the last one of its sender", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a", "leaving"), 2), 0);
     view.applyReport(createReport(createMember("a"), 1), 10);
     assert.deepEqual(listNames(view.listReady(NORTH, 10)), ["self"]);
   });
 
-  it("hears of members from others, with the age of the news", () => {
+  it("learns of members from gossip, and counts its age as silence", () => {
     const view = createView();
     const far = createMember("far", "ready", { region: SOUTH });
     const news = [{ member: far, ageMs: 1_000 }];
@@ -122,7 +133,7 @@
     assert.deepEqual(listNames(view.listReady(SOUTH, 1_600)), []);
   });
 
-  it("sends nothing to a member that fell behind the others of its region", () => {
+  it("does not pick a member that has been silent for longer than the others of its region", () => {
     const view = createView();
     const [stopped, running] = ["far-1", "far-2"].map((name) =>
       createMember(name, "ready", { region: SOUTH })
@@ -130,13 +141,13 @@
     view.applyReport(createReport(stopped, 1), 0);
     view.applyReport(createReport(running, 1), 0);
     assert.equal(view.listFresh(SOUTH, 900).length, 2);
-    view.applyReport(createReport(running, 2), BEHIND_MS);
+    view.applyReport(createReport(running, 2), MAX_LAG_MS);
     assert.deepEqual(listNames(view.listFresh(SOUTH, 900)), ["far-2"]);
     assert.equal(view.listReady(SOUTH, 900).length, 2);
     assert.deepEqual(view.listFresh(NORTH, 900), []);
   });
 
-  it("counts members that fell silent among those that share a bound", () => {
+  it("counts silent members among those that share a limit until they are removed", () => {
     const view = createView();
     view.applyReport(createReport(createMember("a"), 1), 0);
     const far = createMember("far", "ready", { region: SOUTH });
@@ -148,14 +159,14 @@
     assert.equal(view.countSharing(), 1);
   });
 
-  it("counts those that the store names among them, while few are heard", () => {
+  it("counts at least the instances registered in the store among all that share a limit", () => {
     const view = createView();
     view.setNamedCount(60);
     assert.equal(view.countSharing(), 60);
     assert.equal(view.countSharing(NORTH), 1);
   });
 
-  it("finds who knows more of the store, of the own region first", () => {
+  it("lists members that are ahead of this instance, those of the local region first", () => {
     const view = createView();
     const known = {
       configurationVersion: 2,
@@ -196,7 +207,7 @@
     assert.deepEqual(decodeReport(encodeReport(asking)), asking);
   });
 
-  it("returns what was compressed, with the echo of its receiver", () => {
+  it("returns what was compressed, with the echo for its receiver", () => {
     const report = createReport(createMember("a"), 7, {
       scope: "summary",
       wantsSummary: false,
@@ -206,12 +217,12 @@
       compressReport(report),
     ]);
     assert.deepEqual(decodeReport(datagram), { ...report, echo: 1_234 });
-    // Whatever is cut off or is no compressed report at all is none.
+    // Truncated bytes are no report.
     [datagram.subarray(0, 20), datagram.subarray(0, 3), Buffer.from([1])]
       .forEach((bytes) => assert.equal(decodeReport(bytes), undefined));
   });
 
-  it("returns nothing for bytes that are no report", () => {
+  it("returns undefined for bytes that are no report", () => {
     ["", "{}", "[1]", "null", '{"method":"fleet.report","params":[1,2]}']
       .forEach((text) =>
         assert.equal(decodeReport(Buffer.from(text)), undefined)
--- a/fleet/load_board.ts
+++ b/fleet/load_board.ts
@@ -1,6 +1,6 @@
 import type { BackendId } from "../ids/mod.ts";
 import type { FleetReport, ReportedLoad, ServerLoad } from "./fleet_report.ts";
-import { ToldLoads } from "./told_loads.ts";
+import { ReportedOwnLoads } from "./reported_own_loads.ts";
 
 interface Report {
   readonly scope: Exclude<FleetReport["scope"], "summary">;
@@ -14,42 +14,50 @@
 }
 
 /**
- * What is in flight at each backend server: own calls, counted as they start
- * and end, and those that others report.
+ * Tracks the load of each backend server by calls in flight: those of this instance,
+ * counted as they begin and complete, and those that other instances report.
  */
 export class LoadBoard {
   readonly #own = new Map<BackendId, Sums>();
-  readonly #told = new ToldLoads();
+  readonly #reportedOwn = new ReportedOwnLoads();
   readonly #reports = new Map<string, Report>();
-  /** Sums of the reports, by whose calls they count. */
+  /** Sums of the reports, by scope. */
   readonly #reported: Readonly<
     Record<Report["scope"], Map<BackendId, Sums>>
   > = { instance: new Map(), region: new Map() };
-  /** What an aggregator says of the own region, without own calls; it stands for its instances. */
+  /**
+   * Loads of the local region as summarized by an aggregator, without the calls of this
+   * instance. Used in place of the reports of the region's instances.
+   */
   #summary: ReadonlyMap<BackendId, ServerLoad> | undefined;
 
-  /** Own calls in flight, by server. */
+  /** Returns the load of this instance's calls in flight, by server. */
   listOwn(): readonly ReportedLoad[] {
     return [...this.#own].map(([server, sums]) => ({ server, ...sums }));
   }
 
-  /** Returns own calls in flight for a report, and remembers what it says. */
-  takeOwn(sequence: number): readonly ReportedLoad[] {
+  /**
+   * Returns the load of this instance's calls for a report, and remembers it.
+   *
+   * @param sequence Sequence number of the report.
+   */
+  recordOwn(sequence: number): readonly ReportedLoad[] {
     const loads = this.listOwn();
-    this.#told.remember(sequence, loads);
+    this.#reportedOwn.remember(sequence, loads);
     return loads;
   }
 
   /**
-   * What the instances of the own region have in flight, summed by server. What
-   * other regions report is left out: told back to them, it would add up.
+   * Returns the loads by all instances of the local region, summed by server. Loads
+   * that other regions report are left out: sent back to those regions, they would
+   * count twice.
    */
-  listNear(): readonly ReportedLoad[] {
+  sumLocal(): readonly ReportedLoad[] {
     const sums = new Map<BackendId, Sums>();
-    const near = [...this.#reports.values()]
+    const local = [...this.#reports.values()]
       .filter(({ scope }) => scope === "instance")
       .flatMap(({ loads }) => loads);
-    [...this.listOwn(), ...near].forEach((load) => {
+    [...this.listOwn(), ...local].forEach((load) => {
       const sum = sums.get(load.server) ?? createSums();
       addTo(sum, load, 1);
       sums.set(load.server, sum);
@@ -57,12 +65,12 @@
     return [...sums].map(([server, sum]) => ({ server, ...sum }));
   }
 
-  /** Returns what all known calls hold at a server. */
+  /** Returns the load of a server by all known calls. */
   readTotal(server: BackendId): ServerLoad {
-    const near = this.#summary ?? this.#reported.instance;
+    const local = this.#summary ?? this.#reported.instance;
     const parts = [
       this.#own.get(server),
-      near.get(server),
+      local.get(server),
       this.#reported.region.get(server),
     ].filter((part) => part !== undefined);
     if (parts.length === 1) return parts[0]!;
@@ -72,10 +80,10 @@
   }
 
   /**
-   * Adds to the own load of a server.
+   * Adds to the load of a server by this instance's calls.
    *
-   * @param server Where.
-   * @param change What begins, or with negative numbers what ends.
+   * @param server Server that the calls are sent to.
+   * @param change Load of calls that begin, or negated, of calls that complete.
    */
   addOwn(server: BackendId, change: ServerLoad): void {
     const sums = this.#own.get(server) ?? createSums();
@@ -85,9 +93,9 @@
   }
 
   /**
-   * Takes what a reporter says in place of what it said before.
+   * Replaces the last report of a sender.
    *
-   * @param reporter Who says so.
+   * @param reporter Key of the sender: an instance or a region.
    * @param report Its loads, and whose calls they count.
    */
   replaceReport(reporter: string, report: Report): void {
@@ -97,27 +105,27 @@
   }
 
   /**
-   * Takes what an aggregator says of the own region in place of what its instances
-   * say themselves.
+   * Replaces the last summary of the local region. It is used in place of the reports
+   * of the region's instances.
    *
-   * @param loads Of all instances of the region, this one included.
-   * @param sequence The own report that they count; 0: none.
+   * @param loads Loads by all instances of the region, including this one.
+   * @param sequence Sequence number of this instance's report that the loads include; 0: none.
    */
   replaceSummary(loads: readonly ReportedLoad[], sequence: number): void {
-    const others = this.#told.takeOut(loads, sequence);
+    const others = this.#reportedOwn.subtractOwn(loads, sequence);
     this.#summary = new Map(others.map((load) => [load.server, load]));
   }
 
-  /** Goes back to what the instances of the own region say themselves. */
+  /** Drops the summary, so that the reports of the local region's instances are used again. */
   dropSummary(): void {
     this.#summary = undefined;
   }
 
-  /** Drops what a reporter has said. */
+  /** Removes the last report of a sender. */
   removeReport(reporter: string): void {
-    const before = this.#reports.get(reporter);
-    if (before === undefined) return;
-    this.#addReported(before, -1);
+    const previous = this.#reports.get(reporter);
+    if (previous === undefined) return;
+    this.#addReported(previous, -1);
     this.#reports.delete(reporter);
   }
 
--- a/fleet/load_board_test.ts
+++ b/fleet/load_board_test.ts
@@ -7,11 +7,11 @@
 const ONE = { calls: 1, pendingTokens: 100, memoryTokens: 400 };
 
 describe("LoadBoard", () => {
-  describe("when own calls and those of others are at a server", () => {
-    it("sums them", () => {
-      const board = new LoadBoard();
-      board.addOwn(SERVER, ONE);
-      board.replaceReport("a", {
+  describe("when this instance and others have calls at a server", () => {
+    it("sums their loads", () => {
+      const tracker = new LoadBoard();
+      tracker.addOwn(SERVER, ONE);
+      tracker.replaceReport("a", {
         scope: "instance",
         loads: [{
           server: SERVER,
@@ -20,33 +20,33 @@
           memoryTokens: 20,
         }],
       });
-      assert.deepEqual(board.readTotal(SERVER), {
+      assert.deepEqual(tracker.readTotal(SERVER), {
         calls: 3,
         pendingTokens: 110,
         memoryTokens: 420,
       });
     });
 
-    it("replaces what a reporter said before", () => {
-      const board = new LoadBoard();
+    it("replaces the last report of a sender", () => {
+      const tracker = new LoadBoard();
       const loads = [{ server: SERVER, ...ONE }];
-      board.replaceReport("a", { scope: "instance", loads });
-      board.replaceReport("a", { scope: "instance", loads });
-      assert.equal(board.readTotal(SERVER).calls, 1);
-      board.removeReport("a");
-      assert.equal(board.readTotal(SERVER).calls, 0);
+      tracker.replaceReport("a", { scope: "instance", loads });
+      tracker.replaceReport("a", { scope: "instance", loads });
+      assert.equal(tracker.readTotal(SERVER).calls, 1);
+      tracker.removeReport("a");
+      assert.equal(tracker.readTotal(SERVER).calls, 0);
     });
   });
 
   describe("listNear()", () => {
-    it("leaves out what other regions report, which would come back to them", () => {
-      const board = new LoadBoard();
-      board.addOwn(SERVER, ONE);
-      board.replaceReport("region north", {
+    it("leaves out loads that other regions report, which would count twice there", () => {
+      const tracker = new LoadBoard();
+      tracker.addOwn(SERVER, ONE);
+      tracker.replaceReport("region north", {
         scope: "region",
         loads: [{ server: toBackendId("far"), ...ONE }],
       });
-      assert.deepEqual(board.listNear(), [{ server: SERVER, ...ONE }]);
+      assert.deepEqual(tracker.sumLocal(), [{ server: SERVER, ...ONE }]);
     });
   });
 });
--- a/fleet/mod.ts
+++ b/fleet/mod.ts
@@ -1,6 +1,6 @@
 /**
- * What instances tell each other many times a second: that they run, what they
- * have in flight at each backend server, and how much of the store they know.
+ * Reports that instances exchange several times per second: that they run, the load
+ * of their calls at each backend server, and how up to date they are with the store.
  *
  * @example
  * ```ts
@@ -14,7 +14,7 @@
 export * from "./fleet_report.ts";
 export * from "./encode_report.ts";
 export * from "./remembered_reports.ts";
-export * from "./told_loads.ts";
+export * from "./reported_own_loads.ts";
 export * from "./use_board.ts";
 export * from "./load_board.ts";
 export * from "./pick_relays.ts";
--- a/fleet/pick_relays.ts
+++ b/fleet/pick_relays.ts
@@ -1,56 +1,60 @@
 import { isLeaving, type MemberRecord } from "./fleet_report.ts";
 
 /**
- * Instances of a region that speak for it and follow the store for it: one more
- * than are needed, so that the loss of one is not waited for.
+ * Number of instances that represent a region and follow the store for it: one more
+ * than needed, so that the loss of one causes no delay.
  */
 export const RELAYS_PER_REGION = 2;
 
-/** A member of the own region, with what it says of the store. */
+/** A member of the local region, with its reported connection to the store. */
 export interface RelayCandidate {
   readonly member: MemberRecord;
-  /** Whether the store does not answer it. */
+  /** Whether the store has not answered it recently. */
   readonly isStoreLost: boolean;
 }
 
 /**
- * Returns the instances that speak for a region: the first by id, and the first
- * of another failure domain, so that one domain can be lost. Where there is one
- * domain, the first two.
+ * Returns the representatives of a region: the first instance by id, and the first one
+ * of another failure domain, so that the region stays represented when one domain
+ * fails. In a region with one domain they are the first two by id.
  *
- * @param members The members of the region that run, in any order.
+ * @param members Live members of the region, in any order.
  */
-export function pickSpeakers(
+export function pickRepresentatives(
   members: readonly MemberRecord[],
 ): readonly MemberRecord[] {
   const sorted = [...members].sort((a, b) => a.id < b.id ? -1 : 1);
   const [first, ...rest] = sorted;
   if (first === undefined) return [];
-  const elsewhere = rest.filter(({ failureDomain }) =>
+  const otherDomains = rest.filter(({ failureDomain }) =>
     failureDomain !== first.failureDomain
   );
-  const others = [
-    ...elsewhere,
-    ...rest.filter((one) => !elsewhere.includes(one)),
+  const ranked = [
+    ...otherDomains,
+    ...rest.filter((one) => !otherDomains.includes(one)),
   ];
-  return [first, ...others.slice(0, RELAYS_PER_REGION - 1)];
+  return [first, ...ranked.slice(0, RELAYS_PER_REGION - 1)];
 }
 
 /**
- * Returns the instances of a region that follow the store; the others hear of
- * changes from them. The speakers do so always: they also notice the store's
- * return. Those that leave, or that the store does not answer, are stood in for
- * by the next ones.
+ * Returns the instances of a region that follow the store and pass its changes on to
+ * the others. The region representatives always do, also to notice when the store is
+ * reachable again. Representatives that leave, or that the store does not answer, are
+ * additionally replaced by the next members.
  *
- * @param candidates The members of the region that run.
+ * @param candidates Live members of the region.
  */
 export function pickRelays(
   candidates: readonly RelayCandidate[],
 ): readonly MemberRecord[] {
-  const able = candidates.filter(({ isStoreLost, member }) =>
+  const available = candidates.filter(({ isStoreLost, member }) =>
     !isStoreLost && !isLeaving(member.state)
   );
-  const speakers = pickSpeakers(candidates.map(({ member }) => member));
-  const standIns = pickSpeakers(able.map(({ member }) => member));
-  return [...new Set([...speakers, ...standIns])];
+  const representatives = pickRepresentatives(
+    candidates.map(({ member }) => member),
+  );
+  const replacements = pickRepresentatives(
+    available.map(({ member }) => member),
+  );
+  return [...new Set([...representatives, ...replacements])];
 }
--- a/fleet/pick_relays_test.ts
+++ b/fleet/pick_relays_test.ts
@@ -5,7 +5,7 @@
 import type { MemberRecord, MemberState } from "./fleet_report.ts";
 import {
   pickRelays,
-  pickSpeakers,
+  pickRepresentatives,
   type RelayCandidate,
   RELAYS_PER_REGION,
 } from "./pick_relays.ts";
@@ -40,21 +40,21 @@
 );
 
 describe("pickSpeakers()", () => {
-  it("picks the first of two failure domains", () => {
+  it("picks the first member of each of two failure domains", () => {
     const members = ["a", "a", "b", "b"].map((domain, at) =>
       createMember(`i-${at}`, domain)
     );
-    assert.deepEqual(listIds(pickSpeakers(members)), ["i-0", "i-2"]);
+    assert.deepEqual(listIds(pickRepresentatives(members)), ["i-0", "i-2"]);
   });
 
-  it("picks the first two where there is one failure domain", () => {
+  it("picks the first two members if there is one failure domain", () => {
     const members = [2, 0, 1].map((at) => createMember(`i-${at}`, "a"));
-    assert.deepEqual(listIds(pickSpeakers(members)), ["i-0", "i-1"]);
+    assert.deepEqual(listIds(pickRepresentatives(members)), ["i-0", "i-1"]);
   });
 });
 
 describe("pickRelays()", () => {
-  it("has the next ones stand in for those that leave or have lost the store", () => {
+  it("adds the next members for representatives that leave or have lost the store", () => {
     const candidates = [
       { member: createMember("i-0", "a"), isStoreLost: true },
       { member: createMember("i-1", "b", "leaving"), isStoreLost: false },
@@ -70,7 +70,7 @@
     ]);
   });
 
-  it("never leaves a region without one that can, and stays few", () => {
+  it("always picks members that can follow the store if there are any, and few in all", () => {
     fc.assert(
       fc.property(CANDIDATES, (candidates) => {
         const relays = new Set(listIds(pickRelays(candidates)));
@@ -87,7 +87,7 @@
     );
   });
 
-  it("agrees whatever order the members come in", () => {
+  it("picks the same members in whatever order they are given", () => {
     fc.assert(
       fc.property(CANDIDATES, (candidates) => {
         assert.deepEqual(
--- a/fleet/plan_reports.ts
+++ b/fleet/plan_reports.ts
@@ -1,97 +1,113 @@
 import type { MemberRecord } from "./fleet_report.ts";
-import { pickSpeakers } from "./pick_relays.ts";
+import { pickRepresentatives } from "./pick_relays.ts";
 
 /**
- * Most instances of a region that tell each other directly. Reports that all send
- * to all grow with the square of the region: 121.5 KB/s each at 65 instances, with
- * no call in flight. Above this number two instances sum them up.
+ * Maximum size of a region whose instances all report to each other directly. The
+ * traffic of such reports grows with the square of the region's size: 121.5 KB/s per
+ * instance at 65 instances, with no call in flight. In larger regions two instances
+ * summarize the reports.
  */
-export const MOST_DIRECT = 4;
+export const MAX_DIRECT_INSTANCES = 4;
 /**
- * Silence after which an aggregator is stood in for, in milliseconds: three
- * reports, less than the silence by which it is taken as gone.
+ * Silence after which another instance takes over from an aggregator, in milliseconds:
+ * three reports. Shorter than the silence after which a member is considered dead.
  */
-const AGGREGATOR_LATE_MS = 450;
-/** Time without a summary after which a member asks for one, in milliseconds: three of them. */
-export const SUMMARY_LATE_MS = 450;
+const AGGREGATOR_TIMEOUT_MS = 450;
+/**
+ * Time without a summary after which a member requests one, in milliseconds: three
+ * summary intervals.
+ */
+export const SUMMARY_TIMEOUT_MS = 450;
 
-/** A member of the own region that runs. */
-export interface NearMember {
+/** A live member, with the state that report planning needs. */
+export interface ReportPeer {
   readonly member: MemberRecord;
   /** Time since it was last known to run, in milliseconds. */
   readonly silentMs: number;
-  /** Whether it has sent a summary lately. */
+  /** Whether it has sent a summary recently. */
   readonly isAggregating: boolean;
-  /** Whether it says that it gets no summaries. */
+  /** Whether it reports that it receives no summaries. */
   readonly wantsSummary: boolean;
 }
 
-/** Whom an instance tells what inside its region. */
+/** Receivers of an instance's reports within its region. */
 export interface ReportPlan {
-  /** Members that get its own reports. */
+  /** Members that receive the instance's own reports. */
   readonly reportTo: readonly MemberRecord[];
-  /** Members that get what it has heard of all, summed up; none: it sums nothing up. */
+  /** Members that receive its summaries of the region; empty: it sends no summaries. */
   readonly summarizeFor: readonly MemberRecord[];
 }
 
-/** What a plan is made from. */
+/** Arguments of {@linkcode planReports}. */
 export interface ReportPlanParts {
   readonly self: MemberRecord;
-  readonly near: readonly NearMember[];
-  /** Whether this instance has heard enough to sum up, and has not been relieved. */
+  /** Other live members of the local region. */
+  readonly near: readonly ReportPeer[];
+  /**
+   * Whether this instance has received enough reports to summarize, and no other one has
+   * taken over.
+   */
   readonly mayAggregate: boolean;
 }
 
-/** Whether a region is too large for reports from each to each. */
-export function isLargeRegion(near: readonly NearMember[]): boolean {
-  return near.length + 1 > MOST_DIRECT;
+/**
+ * Returns whether a region is too large for all instances to report to each other directly.
+ *
+ * @param peers Live members of the region, without this instance.
+ */
+export function isLargeRegion(peers: readonly ReportPeer[]): boolean {
+  return peers.length + 1 > MAX_DIRECT_INSTANCES;
 }
 
 /**
- * Plans the reports inside a region. In a small one each tells each. In a large
- * one all tell the aggregators, which are the speakers of the region and stand in
- * different failure domains, and each of those tells the members of its own
- * domain: one hop more, messages by the number of members, few of them between
- * domains. A member without an aggregator in its domain, or with a late one, gets
- * summaries of the next.
+ * Plans the reports within a region. In a small region each instance reports to all
+ * others. In a large one all report to the aggregators, which are the region's
+ * representatives and run in different failure domains, and each aggregator sends
+ * summaries to the members of its own domain. This takes one more hop, but the number
+ * of messages grows linearly with the region, and few of them cross domains. A member
+ * whose domain has no aggregator, or a late one, gets its summaries from the next
+ * aggregator.
  *
- * @param parts Who is there.
+ * @param parts This instance and the other live members of its region.
  */
 export function planReports(
-  { mayAggregate, near, self }: ReportPlanParts,
+  { mayAggregate, near: peers, self }: ReportPlanParts,
 ): ReportPlan {
-  const others = near.map(({ member }) => member);
-  // Whoever gets no summary is told by each that can, whatever the plan: views of
-  // who is there differ, and links may be cut one way.
-  const wanting = near.filter(({ wantsSummary }) => wantsSummary)
+  const others = peers.map(({ member }) => member);
+  // Members without summaries receive them from each instance that may aggregate,
+  // whatever the plan: instances may know different members, and links may fail in one
+  // direction.
+  const requesting = peers.filter(({ wantsSummary }) => wantsSummary)
     .map(({ member }) => member);
-  if (!isLargeRegion(near)) {
-    return { reportTo: others, summarizeFor: mayAggregate ? wanting : [] };
+  if (!isLargeRegion(peers)) {
+    return { reportTo: others, summarizeFor: mayAggregate ? requesting : [] };
   }
-  const aggregators = pickSpeakers([self, ...others]);
+  const aggregators = pickRepresentatives([self, ...others]);
   const isAggregator = (member: MemberRecord) =>
     aggregators.some(({ id }) => id === member.id);
-  const reportTo = near.filter(({ isAggregating, member }) =>
+  const reportTo = peers.filter(({ isAggregating, member }) =>
     isAggregating || isAggregator(member)
   ).map(({ member }) => member);
   if (!mayAggregate) return { reportTo, summarizeFor: [] };
   const late = new Set(
-    near.filter(({ silentMs }) => silentMs > AGGREGATOR_LATE_MS)
+    peers.filter(({ silentMs }) => silentMs > AGGREGATOR_TIMEOUT_MS)
       .map(({ member }) => member.id),
   );
   const onTime = aggregators.filter(({ id }) => !late.has(id));
-  // One that is relieved goes on until it hears a summary of who relieves it.
-  const able = isAggregator(self) ? onTime : [self, ...onTime];
+  // An aggregator that is replaced continues until it receives a summary of its
+  // successor.
+  const candidates = isAggregator(self) ? onTime : [self, ...onTime];
   const assigned = others.filter((member) =>
-    !isAggregator(member) && pickAggregator(member, able)?.id === self.id
+    !isAggregator(member) && pickAggregator(member, candidates)?.id === self.id
   );
-  return { reportTo, summarizeFor: [...new Set([...assigned, ...wanting])] };
+  return { reportTo, summarizeFor: [...new Set([...assigned, ...requesting])] };
 }
 
-/** Returns who sums up for a member: the one in its failure domain, else the first. */
+/** Returns the aggregator for a member: the one in its failure domain, or else the first. */
 function pickAggregator(
   { failureDomain }: MemberRecord,
-  able: readonly MemberRecord[],
+  candidates: readonly MemberRecord[],
 ): MemberRecord | undefined {
-  return able.find((one) => one.failureDomain === failureDomain) ?? able[0];
+  return candidates.find((one) => one.failureDomain === failureDomain) ??
+    candidates[0];
 }
--- a/fleet/prefix_queue.ts
+++ b/fleet/prefix_queue.ts
@@ -2,49 +2,49 @@
 import type { ReportedPrefix } from "./fleet_report.ts";
 
 /**
- * Prompt parts that wait for a report: each once, the newest first to go. Parts
- * that no other call begins with are told as one sum a server: they only say how
- * much of what it held before has yielded.
+ * Queue of prompt parts to report. Each shared part is queued once, and the newest are
+ * taken first. Parts that no other call begins with are reported as one sum per server,
+ * since they only tell how much of the server's cache they have displaced.
  */
 export class PrefixQueue {
   readonly #capacity: number;
   readonly #shared = new Map<string, ReportedPrefix>();
-  readonly #ownTokens = new Map<BackendId, number>();
+  readonly #unsharedTokens = new Map<BackendId, number>();
 
-  /** @param capacity Shared parts that wait at the most; the oldest are dropped. */
+  /** @param capacity Maximum number of queued shared parts; the oldest are dropped. */
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** Adds parts, in the order in which they were sent. */
+  /** Adds parts, in the order in which they were sent to servers. */
   add(prefixes: readonly ReportedPrefix[]): void {
     prefixes.forEach((prefix) => {
-      if (prefix.part === undefined) this.#addOwn(prefix);
+      if (prefix.part === undefined) this.#addUnshared(prefix);
       else this.#addShared(prefix);
     });
   }
 
   /**
-   * Takes parts for a report.
+   * Removes parts from the queue and returns them for a report.
    *
-   * @param count Shared parts at the most.
+   * @param count Maximum number of shared parts.
    */
   take(count: number): readonly ReportedPrefix[] {
     const keys = [...this.#shared.keys()].slice(-count);
     const shared = keys.flatMap((key) => this.#shared.get(key) ?? []);
     keys.forEach((key) => this.#shared.delete(key));
-    const own = [...this.#ownTokens].map(([server, tokens]) => ({
+    const unshared = [...this.#unsharedTokens].map(([server, tokens]) => ({
       server,
       part: undefined,
       tokens,
     }));
-    this.#ownTokens.clear();
-    return [...own, ...shared];
+    this.#unsharedTokens.clear();
+    return [...unshared, ...shared];
   }
 
-  #addOwn({ server, tokens }: ReportedPrefix): void {
-    const before = this.#ownTokens.get(server) ?? 0;
-    this.#ownTokens.set(server, before + tokens);
+  #addUnshared({ server, tokens }: ReportedPrefix): void {
+    const previous = this.#unsharedTokens.get(server) ?? 0;
+    this.#unsharedTokens.set(server, previous + tokens);
   }
 
   #addShared(prefix: ReportedPrefix): void {
--- a/fleet/prefix_queue_test.ts
+++ b/fleet/prefix_queue_test.ts
@@ -10,7 +10,7 @@
 }
 
 describe("PrefixQueue", () => {
-  it("gives each shared part once, the newest first to go", () => {
+  it("takes each shared part once, and the newest ones first", () => {
     const queue = new PrefixQueue(10);
     queue.add(["a", "b", "a", "c"].map(createShared));
     const take = () => queue.take(2).map(({ part }) => part);
@@ -19,13 +19,13 @@
     assert.deepEqual(take(), []);
   });
 
-  it("drops the oldest beyond its capacity", () => {
+  it("drops the oldest parts beyond its capacity", () => {
     const queue = new PrefixQueue(2);
     queue.add(["a", "b", "c"].map(createShared));
     assert.deepEqual(queue.take(9).map(({ part }) => part), ["b", "c"]);
   });
 
-  it("sums what no other call begins with", () => {
+  it("sums the parts that no other call begins with", () => {
     const queue = new PrefixQueue(2);
     const own = { server: SERVER, part: undefined, tokens: 300 };
     queue.add([own, createShared("a"), own]);
--- a/fleet/remembered_reports.ts
+++ b/fleet/remembered_reports.ts
@@ -1,25 +1,25 @@
-/** Reports that are remembered: a member that is silent for as many is taken as gone. */
+/** Number of reports that are remembered: a member silent for as many is considered dead. */
 const REMEMBERED_REPORTS = 12;
 
 /**
- * What this instance said in its last reports. A summary counts one of them, and names
- * it, so that just that is taken out of the sum again: what is own is known better
- * here, and nothing counts twice or not at all.
+ * Contents of this instance's last reports. A summary includes one of them and names
+ * its sequence number, so that exactly its content is subtracted again. This instance
+ * knows its current figures itself, and nothing counts twice or is left out.
  */
-export class RememberedReports<Said> {
-  readonly #bySequence = new Map<number, Said>();
+export class RememberedReports<Content> {
+  readonly #bySequence = new Map<number, Content>();
 
-  /** Remembers what a report says. */
-  remember(sequence: number, said: Said): void {
-    this.#bySequence.set(sequence, said);
+  /** Remembers the content of a report by its sequence number. */
+  remember(sequence: number, content: Content): void {
+    this.#bySequence.set(sequence, content);
     const [oldest] = this.#bySequence.keys();
     if (this.#bySequence.size > REMEMBERED_REPORTS) {
       this.#bySequence.delete(oldest!);
     }
   }
 
-  /** Returns what a report said, or `undefined` for one that is not remembered. */
-  find(sequence: number): Said | undefined {
+  /** Returns the content of a report, or `undefined` if it is not remembered. */
+  find(sequence: number): Content | undefined {
     return this.#bySequence.get(sequence);
   }
 }
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -2,7 +2,7 @@
 import type {
   FleetReport,
   KnownState,
-  MemberNews,
+  MemberGossip,
   ReportedLimit,
   ReportedPrefix,
 } from "./fleet_report.ts";
@@ -10,88 +10,94 @@
 import type { ReportedEnds } from "../quarantine/mod.ts";
 import type { LoadBoard } from "./load_board.ts";
 
-/** Most members that one report names: it stays within one packet. */
-const NEWS_PER_REPORT = 12;
+/** Maximum number of members named in a report, so that the report fits into one packet. */
+const MAX_GOSSIP_PER_REPORT = 12;
 /**
- * Most members that an answer to one who asks names, in three packets: whoever
- * has just started needs the whole of its region at once.
+ * Maximum number of members named in an answer to a request for members, which fits
+ * into three packets. An instance that has just started needs all members of its region
+ * at once.
  */
-const NEWS_PER_ANSWER = 36;
-/** One report in so many names members: who runs changes seldom, loads often. */
-const NEWS_EVERY_REPORTS = 4;
+const MAX_GOSSIP_PER_ANSWER = 36;
+/** Number of reports of which one names members: members change rarely, loads often. */
+const GOSSIP_INTERVAL_REPORTS = 4;
 /**
- * Reports in which all members of the own region are named once: summaries, which
- * are all that most members hear of each other, and reports of the region. A
- * member is taken as gone after two rounds of summaries and more.
+ * Number of reports that together name all members of the local region, for summaries
+ * and for reports to other regions. Summaries are the only source from which most
+ * members of a large region learn of each other. A member is considered dead only after
+ * more than two rounds of summaries that do not name it.
  */
 const REPORTS_PER_ROUND = 3;
 
-/** What reports are written from. */
+/** Constructor arguments of {@linkcode ReportWriter}. */
 export interface ReportWriterParts {
   readonly fleet: FleetView;
   readonly loads: LoadBoard;
-  /** Returns what teams use at this instance. */
+  /** Returns the usage of teams at this instance. */
   readonly listUses: (nowMs: number) => readonly ReportedUse[];
-  /** Returns what servers have said of their limits, here or in the region. */
+  /** Returns the limits that servers have advertised, to this instance or in its region. */
   readonly listLimits: (
     scope: FleetReport["scope"],
     nowMs: number,
   ) => readonly ReportedLimit[];
 }
 
-/** What a report says beside loads and members. */
-export interface ReportNews {
-  /** What of the store is known here. */
+/** Content of a report besides loads and members. */
+export interface ReportContent {
+  /** How up to date this instance is with the store. */
   readonly known: KnownState;
-  /** Prompt parts to tell. */
+  /** Prompt parts to report. */
   readonly prefixes: readonly ReportedPrefix[];
-  /** Calls under which servers ended. Default: none. */
+  /** Reports of server crashes during calls. Default: none. */
   readonly ends?: readonly ReportedEnds[];
+  /** Current time, in milliseconds. */
   readonly nowMs: number;
 }
 
-/** Optional parts of a report. */
+/** Options for {@linkcode ReportWriter.createReport}. */
 export interface CreateReportOptions {
-  /** Whether it names members now and then. Default: yes. */
+  /** Whether every few reports name members. Default: yes. */
   readonly namesMembers?: boolean;
-  /** Whether it asks for summaries. Default: no. */
+  /** Whether the report requests summaries. Default: no. */
   readonly wantsSummary?: boolean;
 }
 
-/** Writes what this instance tells others. */
+/** Creates the reports that this instance sends to others. */
 export class ReportWriter {
   readonly #parts: ReportWriterParts;
   #sequence = 0;
-  #newsAt = 0;
-  #nearNewsAt = 0;
+  #gossipOffset = 0;
+  #localGossipOffset = 0;
 
-  /** @param parts What is told. */
+  /** @param parts Sources of the reports' contents. */
   constructor(parts: ReportWriterParts) {
     this.#parts = parts;
   }
 
   /**
-   * Returns what to tell of the own calls.
+   * Returns a report of this instance's own calls.
    *
-   * @param told What else it says.
-   * @param options Whether it names members.
+   * @param input Content besides loads and members.
+   * @param options Whether it names members and requests summaries.
    */
   createReport(
-    { ends = [], known, nowMs, prefixes }: ReportNews,
+    { ends = [], known, nowMs, prefixes }: ReportContent,
     { namesMembers = true, wantsSummary = false }: CreateReportOptions = {},
   ): FleetReport {
     const sequence = ++this.#sequence;
     const uses = this.#parts.listUses(nowMs);
     this.#parts.fleet.uses.remember(sequence, uses);
-    const isTurn = namesMembers && sequence % NEWS_EVERY_REPORTS === 0;
+    const includesGossip = namesMembers &&
+      sequence % GOSSIP_INTERVAL_REPORTS === 0;
     return {
       from: this.#parts.fleet.self,
       sequence,
       scope: "instance",
       known,
-      loads: this.#parts.loads.takeOwn(sequence),
+      loads: this.#parts.loads.recordOwn(sequence),
       prefixes,
-      news: isTurn ? this.#pickNews(nowMs, NEWS_PER_REPORT) : [],
+      news: includesGossip
+        ? this.#pickGossip(nowMs, MAX_GOSSIP_PER_REPORT)
+        : [],
       ends,
       uses,
       limits: this.#parts.listLimits("instance", nowMs),
@@ -100,66 +106,67 @@
     };
   }
 
-  /** Returns what to tell an instance that asks who is there. */
-  createAnswer(told: Omit<ReportNews, "prefixes">): FleetReport {
+  /** Returns a report that answers a request for the known members. */
+  createAnswer(content: Omit<ReportContent, "prefixes">): FleetReport {
     return {
-      ...this.createReport({ ...told, prefixes: [] }),
-      news: this.#pickNews(told.nowMs, NEWS_PER_ANSWER),
+      ...this.createReport({ ...content, prefixes: [] }),
+      news: this.#pickGossip(content.nowMs, MAX_GOSSIP_PER_ANSWER),
     };
   }
 
   /**
-   * Returns what to tell of all instances of the own region.
+   * Returns a report of all instances of the local region.
    *
-   * @param scope Whether it goes to another region or into the own one.
-   * @param told What else it says.
+   * @param scope `region` for a report to another region, `summary` for one to members of
+   * the local region.
+   * @param input Content besides loads and members.
    */
   createSum(
     scope: "region" | "summary",
-    { ends = [], known, nowMs, prefixes }: ReportNews,
+    { ends = [], known, nowMs, prefixes }: ReportContent,
   ): FleetReport {
-    const near = this.#parts.fleet.listNearSeen(nowMs);
+    const localMembers = this.#parts.fleet.listNearSeen(nowMs);
     const count = Math.max(
-      NEWS_PER_REPORT,
-      Math.ceil(near.length / REPORTS_PER_ROUND),
+      MAX_GOSSIP_PER_REPORT,
+      Math.ceil(localMembers.length / REPORTS_PER_ROUND),
     );
-    const news = pickInTurn(near, this.#nearNewsAt, count);
-    this.#nearNewsAt += count;
+    const picked = pickRoundRobin(localMembers, this.#localGossipOffset, count);
+    this.#localGossipOffset += count;
     const { fleet, listLimits, listUses } = this.#parts;
     return {
       from: this.#parts.fleet.self,
       sequence: ++this.#sequence,
       scope,
       known,
-      loads: this.#parts.loads.listNear(),
+      loads: this.#parts.loads.sumLocal(),
       prefixes,
-      news: news.map(toNews),
+      news: picked.map(toGossip),
       ends,
-      uses: fleet.uses.listNear(listUses(nowMs)),
+      uses: fleet.uses.sumLocal(listUses(nowMs)),
       limits: listLimits(scope, nowMs),
       wantsNews: false,
     };
   }
 
-  /** Names live members in turn, so that all get around in a few reports. */
-  #pickNews(nowMs: number, count: number): readonly MemberNews[] {
-    const live = this.#parts.fleet.listSeen(nowMs);
-    const picked = pickInTurn(live, this.#newsAt, count);
-    this.#newsAt += count;
-    return picked.map(toNews);
+  /** Picks live members in round-robin order, so that a few reports name all of them. */
+  #pickGossip(nowMs: number, count: number): readonly MemberGossip[] {
+    const live = this.#parts.fleet.listObservations(nowMs);
+    const picked = pickRoundRobin(live, this.#gossipOffset, count);
+    this.#gossipOffset += count;
+    return picked.map(toGossip);
   }
 }
 
-function toNews({ member, silentMs }: SeenMember): MemberNews {
+function toGossip({ member, silentMs }: SeenMember): MemberGossip {
   return { member, ageMs: silentMs };
 }
 
-/** Returns so many entries of a list from a place on, past its end from the start. */
-function pickInTurn<Entry>(
+/** Returns up to `count` entries of a list from an offset on, wrapping around at its end. */
+function pickRoundRobin<Entry>(
   list: readonly Entry[],
-  place: number,
+  offset: number,
   count: number,
 ): readonly Entry[] {
-  const start = list.length === 0 ? 0 : place % list.length;
+  const start = list.length === 0 ? 0 : offset % list.length;
   return [...list.slice(start), ...list.slice(0, start)].slice(0, count);
 }
--- a/fleet/use_board.ts
+++ b/fleet/use_board.ts
@@ -2,111 +2,122 @@
 import type { RegionId, TeamId } from "../ids/mod.ts";
 import { RememberedReports } from "./remembered_reports.ts";
 
-type Uses = ReadonlyMap<TeamId, TeamUse>;
+type UsageByTeam = ReadonlyMap<TeamId, TeamUse>;
 
-const NO_USES: Uses = new Map();
+const NO_USAGE: UsageByTeam = new Map();
 
 /**
- * What other instances say of the use of teams. It is held as it was told until more
- * is told, or its teller is taken as gone: who goes on unheard goes on as before.
+ * Tracks the usage of teams that other instances report. The last report of an
+ * instance counts until the next one, or until the instance is considered dead: an
+ * instance whose reports are lost is assumed to continue at the same rate.
  */
-export class UseBoard {
+export class TeamUsageTracker {
   readonly #ownRegion: RegionId;
-  readonly #told = new RememberedReports<Uses>();
-  /** Of the instances of the own region, by their ids. */
-  readonly #near = new Map<string, Uses>();
-  /** What an aggregator says of the own region, without own use; it stands for its instances. */
-  #summary: Uses | undefined;
-  readonly #regions = new Map<RegionId, Uses>();
+  readonly #reportedOwn = new RememberedReports<UsageByTeam>();
+  /** Usage by the other instances of the local region, by instance id. */
+  readonly #local = new Map<string, UsageByTeam>();
+  /**
+   * Usage of the local region as summarized by an aggregator, without that of this
+   * instance. Used in place of the reports of the region's instances.
+   */
+  #summary: UsageByTeam | undefined;
+  readonly #regions = new Map<RegionId, UsageByTeam>();
 
   /** @param ownRegion Region of this instance. */
   constructor(ownRegion: RegionId) {
     this.#ownRegion = ownRegion;
   }
 
-  /** Remembers what a report says of own use, for summaries that count it. */
-  remember(sequence: number, uses: readonly ReportedUse[]): void {
-    this.#told.remember(sequence, toUses(uses));
+  /**
+   * Remembers the usage in a report of this instance, for summaries that include it.
+   *
+   * @param sequence Sequence number of the report.
+   * @param usage Usage that it contains.
+   */
+  remember(sequence: number, usage: readonly ReportedUse[]): void {
+    this.#reportedOwn.remember(sequence, toUsageByTeam(usage));
   }
 
-  /** Returns what the other instances of each region use of a team. */
+  /** Returns the usage of a team by the other instances, by region. */
   readOthers(team: TeamId): readonly RegionUse[] {
-    const near = this.#summary === undefined
-      ? [...this.#near.values()].map((uses) => uses.get(team))
+    const local = this.#summary === undefined
+      ? [...this.#local.values()].map((usage) => usage.get(team))
       : [this.#summary.get(team)];
-    const own = sumUses(near.filter((use) => use !== undefined));
-    const far = [...this.#regions].flatMap(([region, uses]) => {
-      const use = uses.get(team);
-      return use === undefined ? [] : [{ region, ...use }];
+    const own = sumUsage(local.filter((teamUsage) => teamUsage !== undefined));
+    const remote = [...this.#regions].flatMap(([region, usage]) => {
+      const teamUsage = usage.get(team);
+      return teamUsage === undefined ? [] : [{ region, ...teamUsage }];
     });
-    return [{ region: this.#ownRegion, ...own }, ...far];
+    return [{ region: this.#ownRegion, ...own }, ...remote];
   }
 
   /**
-   * Returns what the instances of the own region use, summed by team.
+   * Returns the usage by all instances of the local region, summed by team.
    *
-   * @param own Use of this instance.
+   * @param own Usage at this instance.
    */
-  listNear(own: readonly ReportedUse[]): readonly ReportedUse[] {
-    const all = [toUses(own), ...this.#near.values()];
-    const teams = new Set(all.flatMap((uses) => [...uses.keys()]));
+  sumLocal(own: readonly ReportedUse[]): readonly ReportedUse[] {
+    const all = [toUsageByTeam(own), ...this.#local.values()];
+    const teams = new Set(all.flatMap((usage) => [...usage.keys()]));
     return [...teams].map((team) => ({
       team,
-      ...sumUses(
-        all.map((uses) => uses.get(team)).filter((use) => use !== undefined),
+      ...sumUsage(
+        all.map((usage) => usage.get(team)).filter((teamUsage) =>
+          teamUsage !== undefined
+        ),
       ),
     }));
   }
 
-  /** Takes what an instance of the own region says in place of what it said before. */
-  replaceInstance(reporter: string, uses: readonly ReportedUse[]): void {
-    this.#near.set(reporter, toUses(uses));
+  /** Replaces the last usage reported by an instance of the local region. */
+  replaceInstance(reporter: string, usage: readonly ReportedUse[]): void {
+    this.#local.set(reporter, toUsageByTeam(usage));
   }
 
-  /** Takes what is said of another region in place of what was said before. */
-  replaceRegion(region: RegionId, uses: readonly ReportedUse[]): void {
-    this.#regions.set(region, toUses(uses));
+  /** Replaces the last usage reported for a remote region. */
+  replaceRegion(region: RegionId, usage: readonly ReportedUse[]): void {
+    this.#regions.set(region, toUsageByTeam(usage));
   }
 
   /**
-   * Takes what an aggregator says of the own region.
+   * Replaces the last summary of the local region.
    *
-   * @param uses Of all its instances, this one included.
-   * @param sequence The own report that they count; 0: none.
+   * @param usage Usage by all instances of the region, including this one.
+   * @param sequence Sequence number of this instance's report that the usage includes; 0: none.
    */
-  replaceSummary(uses: readonly ReportedUse[], sequence: number): void {
-    const own = this.#told.find(sequence) ?? NO_USES;
-    this.#summary = new Map(uses.map(({ asked, team, used }) => {
-      const mine = own.get(team);
+  replaceSummary(usage: readonly ReportedUse[], sequence: number): void {
+    const own = this.#reportedOwn.find(sequence) ?? NO_USAGE;
+    this.#summary = new Map(usage.map(({ asked, team, used }) => {
+      const ownUsage = own.get(team);
       return [team, {
-        used: Math.max(0, used - (mine?.used ?? 0)),
-        asked: Math.max(0, asked - (mine?.asked ?? 0)),
+        used: Math.max(0, used - (ownUsage?.used ?? 0)),
+        asked: Math.max(0, asked - (ownUsage?.asked ?? 0)),
       }];
     }));
   }
 
-  /** Goes back to what the instances of the own region say themselves. */
+  /** Drops the summary, so that the reports of the local region's instances are used again. */
   dropSummary(): void {
     this.#summary = undefined;
   }
 
-  /** Drops what an instance of the own region has said. */
+  /** Removes the last usage reported by an instance of the local region. */
   removeInstance(reporter: string): void {
-    this.#near.delete(reporter);
+    this.#local.delete(reporter);
   }
 
-  /** Drops what was said of another region. */
+  /** Removes the last usage reported for a remote region. */
   removeRegion(region: RegionId): void {
     this.#regions.delete(region);
   }
 }
 
-function toUses(uses: readonly ReportedUse[]): Uses {
-  return new Map(uses.map(({ asked, team, used }) => [team, { asked, used }]));
+function toUsageByTeam(usage: readonly ReportedUse[]): UsageByTeam {
+  return new Map(usage.map(({ asked, team, used }) => [team, { asked, used }]));
 }
 
-function sumUses(uses: readonly TeamUse[]): TeamUse {
-  return uses.reduce(
+function sumUsage(usage: readonly TeamUse[]): TeamUse {
+  return usage.reduce(
     (sum, { asked, used }) => ({
       used: sum.used + used,
       asked: sum.asked + asked,
