--- a/fleet/pick_relays_test.ts
+++ b/fleet/pick_relays_test.ts
@@ -39,7 +39,7 @@
   }))
 );
 
-describe("pickSpeakers()", () => {
+describe("pickRepresentatives()", () => {
   it("picks the first member of each of two failure domains", () => {
     const members = ["a", "a", "b", "b"].map((domain, at) =>
       createMember(`i-${at}`, domain)
