--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -180,7 +180,7 @@
           lastSeenMs,
           member,
           sequence,
-          lastSummaryMs: summaryMs,
+          lastSummaryMs,
           wantsSummary,
         },
       ) => ({
@@ -188,7 +188,7 @@
         sequence,
         wantsSummary,
         silentMs: nowMs - lastSeenMs,
-        isAggregating: nowMs - summaryMs < LOCAL_MEMBER_TIMEOUT_MS,
+        isAggregating: nowMs - lastSummaryMs < LOCAL_MEMBER_TIMEOUT_MS,
       }));
   }
 
