--- a/daemon/departure.ts
+++ b/daemon/departure.ts
@@ -2,103 +2,107 @@
 import type { FleetView } from "../fleet/mod.ts";
 import type { Logger } from "../logs/mod.ts";
 import {
-  type DepartureStage,
-  type DepartureTimes,
-  findEndMs,
-  hasDone,
-  isOverInTime,
-  judgeDeparture,
+  computeCloseMs,
+  decideShutdownStage,
+  isDoneBeforeClose,
+  mayExit,
+  type ShutdownStage,
+  type ShutdownTimes,
 } from "./judge_departure.ts";
 
-/** Pause between looks at what is in flight, in milliseconds. */
+/** Interval between checks for calls in flight, in milliseconds. */
 const CHECK_INTERVAL_MS = 50;
-/** A departure goes on to its end. */
-const NEVER_CANCELLED = new AbortController().signal;
+/** A shutdown that has begun can't be cancelled. */
+const NEVER_ABORTED = new AbortController().signal;
 
-/** What a departure is created from. */
-export interface DepartureParts {
+/** Constructor arguments of {@linkcode GracefulShutdown}. */
+export interface GracefulShutdownParts {
   readonly clock: Clock;
   readonly logger: Logger;
+  /** View of the instances, in which this instance is marked as leaving. */
   readonly fleet: FleetView;
-  /** Tells the other instances at once what this one does. */
-  readonly tellOthers: () => void;
-  /** Time until the process is killed, in milliseconds. */
+  /** Reports the state of this instance to the others at once. */
+  readonly sendReports: () => void;
+  /** Time from the start of the shutdown until the process is killed, in milliseconds. */
   readonly graceMs: number;
-  /** Takes no more connections and closes those without a call. */
+  /** Stops accepting connections and closes those without a call. */
   readonly stopListening: () => void;
-  /** Returns the answers that are not yet with their callers. */
+  /** Returns the number of answers that have not been sent completely. */
   readonly countOpen: () => number;
-  /** Returns the calls that are being served, without those that are refused. */
-  readonly countServed: () => number;
+  /** Returns the number of calls being served, without those that are refused. */
+  readonly countActiveCalls: () => number;
 }
 
-/** What differs with the sockets of an instance. */
-export type LeaveOptions = Pick<
-  DepartureParts,
+/** Options of a shutdown that depend on the sockets of an instance. */
+export type ShutdownOptions = Pick<
+  GracefulShutdownParts,
   "graceMs" | "countOpen" | "stopListening"
 >;
 
-/** The leaving of an instance, from its signal to its end. */
-export class Departure {
-  readonly #parts: DepartureParts;
-  readonly #times: DepartureTimes;
-  #stage: DepartureStage = "taking";
+/** Graceful shutdown of an instance, from the signal to the exit of the process. */
+export class GracefulShutdown {
+  readonly #parts: GracefulShutdownParts;
+  readonly #times: ShutdownTimes;
+  #stage: ShutdownStage = "taking";
   #stageSinceMs: number;
-  /** Calls in flight that were taken after the first seconds. */
+  /** Number of calls in flight that were accepted after the first seconds. */
   #lateCalls = 0;
 
-  /** @param parts Who is told, and what is in flight. */
-  constructor(parts: DepartureParts) {
+  /** @param parts Ports, grace period and counters of calls in flight. */
+  constructor(parts: GracefulShutdownParts) {
     this.#parts = parts;
     this.#stageSinceMs = parts.clock.nowMs();
-    this.#times = { sinceMs: this.#stageSinceMs, graceMs: parts.graceMs };
+    this.#times = { startMs: this.#stageSinceMs, graceMs: parts.graceMs };
   }
 
-  /** Which calls are taken. */
-  get stage(): DepartureStage {
+  /** Which calls are accepted now. */
+  get stage(): ShutdownStage {
     return this.#stage;
   }
 
-  /** Tells the others, and resolves when what is in flight is done or the grace nearly over. */
+  /**
+   * Reports the shutdown to the other instances, and resolves when no call is in flight or
+   * the grace period is nearly over.
+   */
   async run(): Promise<void> {
-    const { clock, countOpen, fleet, logger, stopListening, tellOthers } =
+    const { clock, countOpen, fleet, logger, stopListening, sendReports } =
       this.#parts;
-    const { sinceMs } = this.#times;
-    fleet.setState("leaving", sinceMs);
-    tellOthers();
+    const { startMs } = this.#times;
+    fleet.setState("leaving", startMs);
+    sendReports();
     logger.info("leaving", { inFlight: countOpen() });
-    while (clock.nowMs() < findEndMs(this.#times)) {
-      await this.#awaitReading(CHECK_INTERVAL_MS);
+    while (clock.nowMs() < computeCloseMs(this.#times)) {
+      await this.#waitAndRead(CHECK_INTERVAL_MS);
       const nowMs = clock.nowMs();
       const openCount = countOpen();
-      this.#setStage(nowMs);
+      this.#updateStage(nowMs);
       const stageMs = nowMs - this.#stageSinceMs;
-      if (hasDone({ stage: this.#stage, stageMs, openCount })) break;
+      if (mayExit({ stage: this.#stage, stageMs, openCount })) break;
     }
     stopListening();
     do {
-      await this.#awaitReading(0);
-    } while (countOpen() > 0 && clock.nowMs() < findEndMs(this.#times));
-    logger.info("left", {
+      await this.#waitAndRead(0);
+    } while (countOpen() > 0 && clock.nowMs() < computeCloseMs(this.#times));
+    logger.info("shutdown finished", {
       cutOff: countOpen(),
-      afterMs: Math.round(clock.nowMs() - sinceMs),
+      afterMs: Math.round(clock.nowMs() - startMs),
     });
   }
 
   /**
-   * Serves a call that came after the first seconds, if it is over before the process
-   * ends.
+   * Serves a call that arrived after the first seconds, if it completes before all
+   * connections are closed.
    *
-   * @param findDueMs Returns when the time of the call is over.
-   * @param serve Serves it.
-   * @returns Whether it was taken.
+   * @param computeDeadlineMs Returns the deadline of the call, in milliseconds.
+   * @param serve Serves the call.
+   * @returns Whether the call was accepted.
    */
-  async serveLate(
-    findDueMs: () => number,
+  async serveLateCall(
+    computeDeadlineMs: () => number,
     serve: () => Promise<void>,
   ): Promise<boolean> {
     if (this.#stage !== "lingering") return false;
-    if (!isOverInTime(this.#times, findDueMs())) return false;
+    if (!isDoneBeforeClose(this.#times, computeDeadlineMs())) return false;
     this.#lateCalls++;
     try {
       await serve();
@@ -109,34 +113,44 @@
   }
 
   /**
-   * Waits, and lets the loop read what has arrived. Timers run before it: a process
-   * that is behind would find nothing in flight beside calls that it has not read.
+   * Waits for a delay and until the event loop has read what has arrived. Timers run
+   * before reads: without this, a process that is behind would find no call in flight
+   * while calls that it has not read wait in its sockets.
    */
-  #awaitReading(delayMs: number): Promise<void> {
+  #waitAndRead(delayMs: number): Promise<void> {
     return new Promise((resolve) =>
       scheduleAfterReading(
         this.#parts.clock,
         delayMs,
         resolve,
-        NEVER_CANCELLED,
+        NEVER_ABORTED,
       )
     );
   }
 
-  /** Judges which calls are taken from now on, and tells the others of a change. */
-  #setStage(nowMs: number): void {
-    const { countServed, fleet, logger, tellOthers } = this.#parts;
-    const awaited = countServed() - this.#lateCalls;
-    const hasStandIn = fleet.listReady(fleet.self.region, nowMs).length > 0;
-    const stage = judgeDeparture(this.#times, { awaited, hasStandIn, nowMs });
+  /** Decides which calls are accepted from now on, and reports a change to the other instances. */
+  #updateStage(nowMs: number): void {
+    const { countActiveCalls, fleet, logger, sendReports } = this.#parts;
+    const earlyCalls = countActiveCalls() - this.#lateCalls;
+    const hasReadyPeer = fleet.listReady(fleet.self.region, nowMs).length > 0;
+    const stage = decideShutdownStage(this.#times, {
+      earlyCalls,
+      hasReadyPeer,
+      nowMs,
+    });
     if (stage === this.#stage) return;
     const before = this.#stage;
-    logger.info("takes other calls", { stage, before, awaited, hasStandIn });
+    logger.info("takes other calls", {
+      stage,
+      before,
+      earlyCalls,
+      hasReadyPeer,
+    });
     this.#stage = stage;
     this.#stageSinceMs = nowMs;
     const isLingering = stage === "lingering";
     const state = isLingering ? "lingering" : "leaving";
-    fleet.setState(state, this.#times.sinceMs);
-    tellOthers();
+    fleet.setState(state, this.#times.startMs);
+    sendReports();
   }
 }
--- a/daemon/ends_news.ts
+++ b/daemon/ends_news.ts
@@ -4,79 +4,93 @@
   type ReportedEnds,
 } from "../quarantine/mod.ts";
 
-/** To whom a report goes. */
-export type EndsScope = "near" | "region" | "summary";
+/**
+ * Recipients of reports: instances of the own region (`near`), other regions (`region`), or
+ * the members that an aggregator sends summaries to (`summary`).
+ */
+export type CrashGossipScope = "near" | "region" | "summary";
 
-/** Rows that one report names at the most: it stays within one packet. */
-const MAX_ROWS = 16;
+/** Maximum number of new crash reports in one message, which keeps it within one packet. */
+const MAX_CRASH_REPORTS = 16;
 /**
- * One report in so many names a refused call beside those, in turn: about one a second,
- * whichever way the reports go.
+ * Number of messages of each scope of which one also lists a quarantined call, each time
+ * another one. That is about one call a second in each scope.
  */
-const HELD_EVERY_REPORTS: Readonly<Record<EndsScope, number>> = {
-  near: 8,
-  region: 4,
-  summary: 8,
-};
-/** Refused calls that an answer to one who asks names at the most. */
-const HELD_PER_ANSWER = 16;
+const REPORTS_PER_QUARANTINED_CALL: Readonly<Record<CrashGossipScope, number>> =
+  {
+    near: 8,
+    region: 4,
+    summary: 8,
+  };
+/** Maximum number of quarantined calls in the answer to an instance that asks for what it missed. */
+const MAX_QUARANTINED_CALLS_PER_ANSWER = 16;
 
 /**
- * What reports tell of calls under which servers ended. Each scope tells what is new
- * on its own way; and since whoever starts, or was cut off, must not send such calls
- * anew, a report now and then names a refused call as long as there are any.
+ * Crash reports in the messages that instances exchange: calls that servers had when they
+ * crashed. Each scope has its own queue of new reports. Instances that have just started,
+ * or that were cut off, must not send quarantined calls again; so messages keep listing a
+ * quarantined call at intervals as long as there are any.
  */
-export class EndsNews {
+export class CrashGossip {
   readonly #quarantine: CallQuarantine;
-  readonly #queues: Readonly<Record<EndsScope, EndsQueue>> = {
+  readonly #queues: Readonly<Record<CrashGossipScope, EndsQueue>> = {
     near: new EndsQueue(),
     region: new EndsQueue(),
     summary: new EndsQueue(),
   };
-  readonly #reports: Record<EndsScope, number> = {
+  readonly #reportCounts: Record<CrashGossipScope, number> = {
     near: 0,
     region: 0,
     summary: 0,
   };
 
-  /** @param quarantine What is told, and what is learned. */
+  /** @param quarantine Source of the own reports, into which received ones are merged. */
   constructor(quarantine: CallQuarantine) {
     this.#quarantine = quarantine;
   }
 
-  /** Takes up what this instance itself saw, for all scopes. */
-  gather(nowMs: number): void {
-    const untold = this.#quarantine.takeUntold();
-    Object.values(this.#queues).forEach((queue) => queue.add(untold, nowMs));
+  /** Queues what this instance itself observed since the last call, for all scopes. */
+  gatherOwn(nowMs: number): void {
+    const unreported = this.#quarantine.takeUntold();
+    Object.values(this.#queues).forEach((queue) =>
+      queue.add(unreported, nowMs)
+    );
   }
 
   /**
-   * Takes what another instance tells.
+   * Merges the crash reports of another instance into the quarantine.
    *
-   * @param ends Its rows.
-   * @param nowMs Time now.
-   * @param passOn Who is to be told of it as well.
+   * @param ends Received reports.
+   * @param nowMs Current time, in milliseconds.
+   * @param forwardTo Scopes to which reports that are new here are sent on.
    */
-  learn(
+  mergeReports(
     ends: readonly ReportedEnds[],
     nowMs: number,
-    passOn: readonly EndsScope[],
+    forwardTo: readonly CrashGossipScope[],
   ): void {
-    const learned = this.#quarantine.learn(ends, nowMs);
-    passOn.forEach((scope) => this.#queues[scope].add(learned, nowMs));
+    const merged = this.#quarantine.learn(ends, nowMs);
+    forwardTo.forEach((scope) => this.#queues[scope].add(merged, nowMs));
   }
 
-  /** Takes the rows of a report. */
-  take(scope: EndsScope, nowMs: number): readonly ReportedEnds[] {
-    const isTurn = this.#reports[scope]++ % HELD_EVERY_REPORTS[scope] === 0;
+  /** Takes the crash reports for a message, and at intervals adds a quarantined call. */
+  takeForReport(
+    scope: CrashGossipScope,
+    nowMs: number,
+  ): readonly ReportedEnds[] {
+    const includesQuarantined =
+      this.#reportCounts[scope]++ % REPORTS_PER_QUARANTINED_CALL[scope] === 0;
     return [
-      ...this.#queues[scope].take(MAX_ROWS, nowMs),
-      ...this.#quarantine.listHeldInTurn(isTurn ? 1 : 0, nowMs),
+      ...this.#queues[scope].take(MAX_CRASH_REPORTS, nowMs),
+      ...this.#quarantine.listHeldInTurn(includesQuarantined ? 1 : 0, nowMs),
     ];
   }
 
-  /** Returns the rows of an answer to an instance that asks what it missed. */
+  /** Returns quarantined calls for the answer to an instance that asks for what it missed. */
   listForAnswer(nowMs: number): readonly ReportedEnds[] {
-    return this.#quarantine.listHeldInTurn(HELD_PER_ANSWER, nowMs);
+    return this.#quarantine.listHeldInTurn(
+      MAX_QUARANTINED_CALLS_PER_ANSWER,
+      nowMs,
+    );
   }
 }
--- a/daemon/fleet_reporter.ts
+++ b/daemon/fleet_reporter.ts
@@ -22,138 +22,144 @@
 import type { ReportedUse } from "../admission/mod.ts";
 import type { CallQuarantine } from "../quarantine/mod.ts";
 import type { StateSource } from "../state/mod.ts";
-import { EndsNews } from "./ends_news.ts";
-import type { LimitNews } from "./limit_news.ts";
+import { CrashGossip } from "./ends_news.ts";
+import type { LimitGossip } from "./limit_news.ts";
 
-/** Pause between reports to the own region, in milliseconds: several a second. */
+/** Interval between reports to the own region, in milliseconds. */
 const REPORT_INTERVAL_MS = 150;
-/** One report of the region to the others in so many reports: bytes between regions are dear. */
-const REGION_REPORT_EVERY = 2;
+/** Rounds of reports per report to other regions: traffic between regions is expensive. */
+const ROUNDS_PER_REGION_REPORT = 2;
 /**
- * One report of the region in so many goes from and to the second instance that
- * speaks for a region as well, so that either can be lost unnoticed by callers.
+ * Reports to other regions of which one is also sent by and to the second representative
+ * of each region, so that callers don't notice the loss of either representative.
  */
-const SECOND_REPORTER_EVERY = 4;
+const REGION_REPORTS_PER_REDUNDANT_REPORT = 4;
 /**
- * Shared prompt parts that one report of the region names at the most, two
- * packets: what 20 instances send to their servers meanwhile.
+ * Maximum number of shared prompt parts in one report of the region. They fit into two
+ * packets, and 20 instances send about as many to their servers between two reports.
  */
 const MAX_REGION_PREFIXES = 48;
-/** Prompt parts that wait for reports of the region at the most: what several engines hold after a start. */
-const MAX_WAITING_PREFIXES = 256;
-/** Pause between attempts to reach instances that are known by address only, in milliseconds. */
+/** Maximum number of prompt parts queued for reports of the region: what several engines have cached when an instance starts. */
+const MAX_QUEUED_PREFIXES = 256;
+/** Interval between attempts to reach instances of which only the address is known, in milliseconds. */
 const CONTACT_INTERVAL_MS = 500;
-/** Addresses that are greeted at a time beside the seeds: many entries may be of instances that are gone. */
-const GREETED_AT_ONCE = 4;
+/** Maximum number of addresses contacted at a time beside the seeds: many entries may be of dead instances. */
+const MAX_CONTACTS_BESIDE_SEEDS = 4;
 /**
- * Time that an instance has to be one of the speakers of its region before it sums
- * up for others, in milliseconds: in two rounds all have told it what they do.
+ * Minimum time for which an instance has to be a representative of its region before it
+ * sends summaries to others, in milliseconds. After two rounds it has received a report
+ * of every member.
  */
-const GATHER_BEFORE_SUMMARY_MS = 2 * REPORT_INTERVAL_MS;
+const MIN_GATHER_MS = 2 * REPORT_INTERVAL_MS;
 
-/** What a reporter tells from, and who hears what it is told. */
+/** Constructor arguments of {@linkcode FleetReporter}. */
 export interface FleetReporterParts {
   readonly clock: Clock;
   readonly random: Random;
+  /** View of the instances, updated by received reports. */
   readonly fleet: FleetView;
+  /** Loads of the servers. */
   readonly loads: LoadBoard;
+  /** State of the store that this instance knows. */
   readonly state: Pick<StateSource, "known" | "instanceAddresses">;
-  /** Addresses of a few instances; they may be gone. */
+  /** Addresses of a few instances, some of which may be dead. */
   readonly seedAddresses: readonly string[];
+  /** Sends a report to addresses. */
   readonly sendReport: SendReport;
-  /** Returns the prompt parts sent since the last call. */
+  /** Returns the prompt parts sent to servers since the last call. */
   readonly takePrefixes: () => readonly ReportedPrefix[];
-  /** Takes prompt parts that other instances have sent. */
+  /** Records prompt parts that other instances have sent to servers. */
   readonly learnPrefixes: (prefixes: readonly ReportedPrefix[]) => void;
-  /** Returns what teams use at this instance. Default: no team has a limit. */
+  /** Returns the usage of teams at this instance. Default: none, as no team has a limit. */
   readonly listUses?: (nowMs: number) => readonly ReportedUse[];
-  /** Calls under which servers ended, here or elsewhere. */
+  /** Calls that servers had when they crashed, here or at other instances. */
   readonly quarantine: CallQuarantine;
-  /** Limits that servers name. Default: none. */
-  readonly limits?: Pick<LimitNews, "learn" | "list">;
-  /** Called with each own round of reports. */
+  /** Limits that servers advertised. Default: none. */
+  readonly limits?: Pick<LimitGossip, "recordReported" | "listReported">;
+  /** Called after each round of reports. */
   readonly onRound: () => void;
-  /** Called when another instance says that it knows more of the store. */
+  /** Called when another instance reports a newer state of the store. */
   readonly onNewState: () => void;
 }
 
 /**
- * Tells other instances what this one does and knows, and takes what they tell:
- * inside the region each to each, or in a large one by way of aggregators, and
- * between regions by way of those that speak for them.
+ * Exchanges reports with other instances. Inside a region each instance sends to each
+ * other one or, in a large region, to aggregators. Between regions the representatives of
+ * each region send and receive.
  */
 export class FleetReporter {
   readonly #parts: FleetReporterParts;
   readonly #writer: ReportWriter;
-  /** Prompt parts that other regions have not heard of. */
-  readonly #regionPrefixes = new PrefixQueue(MAX_WAITING_PREFIXES);
-  /** Prompt parts that the members summed up for have not heard of. */
-  readonly #summaryPrefixes = new PrefixQueue(MAX_WAITING_PREFIXES);
-  readonly #ends: EndsNews;
+  /** Prompt parts that have not been reported to other regions. */
+  readonly #regionPrefixes = new PrefixQueue(MAX_QUEUED_PREFIXES);
+  /** Prompt parts that have not been sent in a summary. */
+  readonly #summaryPrefixes = new PrefixQueue(MAX_QUEUED_PREFIXES);
+  readonly #crashGossip: CrashGossip;
   #seedAddresses: readonly string[];
   #rounds = 0;
   #regionReports = 0;
-  #speakerSinceMs: number | undefined;
+  #representativeSinceMs: number | undefined;
   #isAggregating = false;
   #summarizedCount = 0;
 
-  /** @param parts State and ports. */
+  /** @param parts Ports and state to report. */
   constructor(parts: FleetReporterParts) {
     this.#parts = parts;
     this.#seedAddresses = parts.seedAddresses;
     this.#writer = new ReportWriter({
       listUses: () => [],
-      listLimits: (scope, nowMs) => parts.limits?.list(scope, nowMs) ?? [],
+      listLimits: (scope, nowMs) =>
+        parts.limits?.listReported(scope, nowMs) ?? [],
       ...parts,
     });
-    this.#ends = new EndsNews(parts.quarantine);
+    this.#crashGossip = new CrashGossip(parts.quarantine);
   }
 
-  /** Greets others, and tells them what happens, until the signal aborts. */
+  /** Starts contacting other instances and sending reports, until the signal aborts. */
   start(signal: AbortSignal): void {
     const { clock } = this.#parts;
-    this.#contactOthers();
-    scheduleEvery(clock, REPORT_INTERVAL_MS, () => this.#report(), signal);
+    this.#contactUnknownInstances();
+    scheduleEvery(clock, REPORT_INTERVAL_MS, () => this.#runRound(), signal);
     scheduleEvery(
       clock,
       CONTACT_INTERVAL_MS,
-      () => this.#contactOthers(),
+      () => this.#contactUnknownInstances(),
       signal,
     );
   }
 
-  /** Members that get summaries from this instance. */
+  /** Number of members that get summaries from this instance. */
   get summarizedCount(): number {
     return this.#summarizedCount;
   }
 
-  /** Takes other addresses to begin at. */
+  /** Replaces the seed addresses. */
   setSeedAddresses(addresses: readonly string[]): void {
     this.#seedAddresses = addresses;
   }
 
-  /** Takes prompt parts that engines hold, to be told with the next reports. */
+  /** Queues prompt parts, which engines have cached, for the next reports. */
   addPrefixes(prefixes: readonly ReportedPrefix[]): void {
     this.#regionPrefixes.add(prefixes);
     if (this.#isAggregating) this.#summaryPrefixes.add(prefixes);
   }
 
-  /** Tells the own region at once what is known here. */
-  tellNear(): void {
-    this.#tellNear([]);
+  /** Sends a report to the own region at once. */
+  reportToLocalRegion(): void {
+    this.#reportToLocalRegion([]);
   }
 
-  /** Tells all regions at once. */
-  tellAll(): void {
-    this.#report();
-    this.#reportRegion(RELAYS_PER_REGION);
+  /** Sends reports to all regions at once. */
+  reportToAllRegions(): void {
+    this.#runRound();
+    this.#reportToRemoteRegions(RELAYS_PER_REGION);
   }
 
   /**
-   * Takes a report of another instance.
+   * Applies a report of another instance.
    *
-   * @param report As received.
-   * @param from Address of its sender.
+   * @param report Received report.
+   * @param from Address of the sender.
    */
   receive(report: FleetReport, from: string): void {
     const { clock, fleet, learnPrefixes, limits, sendReport, state } =
@@ -161,74 +167,75 @@
     const nowMs = clock.nowMs();
     if (fleet.applyReport(report, nowMs)) {
       learnPrefixes(report.prefixes);
-      limits?.learn(report, nowMs);
-      const isNear = report.from.region === fleet.self.region;
-      if (!isNear) this.#passOn(report, nowMs);
+      limits?.recordReported(report, nowMs);
+      const isLocal = report.from.region === fleet.self.region;
+      if (!isLocal) this.#forwardRegionReport(report, nowMs);
       else if (report.scope === "instance") this.addPrefixes(report.prefixes);
-      const isOwnWord = isNear && report.scope === "instance";
-      this.#ends.learn(
+      const isFirsthand = isLocal && report.scope === "instance";
+      this.#crashGossip.mergeReports(
         report.ends ?? [],
         nowMs,
-        isOwnWord ? ["region", "summary"] : [],
+        isFirsthand ? ["region", "summary"] : [],
       );
-      // Looking for who is ahead walks over all members: hundreds of reports a second
-      // say nothing new of the store.
+      // The search for instances that are ahead walks over all members, so it is left out
+      // for the hundreds of reports a second that bring nothing new of the store.
       if (isAhead(report.known, state.known)) this.#parts.onNewState();
     }
     if (report.wantsNews) {
       const { known } = state;
-      const ends = this.#ends.listForAnswer(nowMs);
+      const ends = this.#crashGossip.listForAnswer(nowMs);
       sendReport(this.#writer.createAnswer({ known, ends, nowMs }), [from]);
     }
   }
 
-  #report(): void {
+  #runRound(): void {
     const prefixes = this.#parts.takePrefixes();
     this.addPrefixes(prefixes);
-    this.#ends.gather(this.#parts.clock.nowMs());
-    this.#tellNear(prefixes);
+    this.#crashGossip.gatherOwn(this.#parts.clock.nowMs());
+    this.#reportToLocalRegion(prefixes);
     this.#rounds++;
-    if (this.#rounds % REGION_REPORT_EVERY === 0) {
-      const isForBoth = this.#regionReports++ % SECOND_REPORTER_EVERY === 0;
-      this.#reportRegion(isForBoth ? RELAYS_PER_REGION : 1);
+    if (this.#rounds % ROUNDS_PER_REGION_REPORT === 0) {
+      const isRedundant =
+        this.#regionReports++ % REGION_REPORTS_PER_REDUNDANT_REPORT === 0;
+      this.#reportToRemoteRegions(isRedundant ? RELAYS_PER_REGION : 1);
     }
     this.#parts.onRound();
   }
 
-  #tellNear(prefixes: readonly ReportedPrefix[]): void {
+  #reportToLocalRegion(prefixes: readonly ReportedPrefix[]): void {
     const { clock, fleet, sendReport, state: { known } } = this.#parts;
     const nowMs = clock.nowMs();
-    const near = fleet.listNearSeen(nowMs);
-    const plan = this.#plan(near, nowMs);
-    const isSummedUp = isLargeRegion(near) && !this.#isAggregating;
-    const ends = this.#ends.take("near", nowMs);
+    const localPeers = fleet.listNearSeen(nowMs);
+    const plan = this.#planReports(localPeers, nowMs);
+    const usesAggregators = isLargeRegion(localPeers) && !this.#isAggregating;
+    const ends = this.#crashGossip.takeForReport("near", nowMs);
     sendReport(
       this.#writer.createReport({ ends, known, prefixes, nowMs }, {
-        // Aggregators hear of members from the members themselves.
-        namesMembers: !isSummedUp,
-        wantsSummary: isSummedUp && !fleet.hasSummaries(nowMs),
+        // Aggregators receive reports from the members themselves.
+        namesMembers: !usesAggregators,
+        wantsSummary: usesAggregators && !fleet.hasSummaries(nowMs),
       }),
       toAddresses(plan.reportTo),
     );
     this.#summarizedCount = plan.summarizeFor.length;
-    if (this.#summarizedCount > 0) this.#summarize(plan, near, nowMs);
+    if (this.#summarizedCount > 0) this.#sendSummaries(plan, localPeers, nowMs);
   }
 
-  /** Plans who is told, and notes whether this instance sums up for others. */
-  #plan(near: readonly SeenMember[], nowMs: number): ReportPlan {
+  /** Plans the recipients of reports, and decides whether this instance is an aggregator. */
+  #planReports(near: readonly SeenMember[], nowMs: number): ReportPlan {
     const { fleet } = this.#parts;
-    const isSpeaker = fleet.readReporterRank(nowMs) !== undefined;
-    if (isSpeaker) this.#speakerSinceMs ??= nowMs;
-    else this.#speakerSinceMs = undefined;
-    const hasGathered = isSpeaker &&
-      nowMs - this.#speakerSinceMs! >= GATHER_BEFORE_SUMMARY_MS;
-    const isRelieved = !isSpeaker &&
+    const isRepresentative = fleet.readReporterRank(nowMs) !== undefined;
+    if (isRepresentative) this.#representativeSinceMs ??= nowMs;
+    else this.#representativeSinceMs = undefined;
+    const hasGatheredReports = isRepresentative &&
+      nowMs - this.#representativeSinceMs! >= MIN_GATHER_MS;
+    const isReplaced = !isRepresentative &&
       near.some(({ isAggregating }) => isAggregating);
-    const isWanted = isLargeRegion(near) ||
+    const needsAggregators = isLargeRegion(near) ||
       near.some(({ wantsSummary }) => wantsSummary);
-    this.#isAggregating = isWanted &&
-      (hasGathered || this.#isAggregating && !isRelieved);
-    // Who sums up hears of each instance itself.
+    this.#isAggregating = needsAggregators &&
+      (hasGatheredReports || this.#isAggregating && !isReplaced);
+    // An aggregator receives the reports of each instance itself.
     if (this.#isAggregating) this.#parts.fleet.dropSummary();
     return planReports({
       self: fleet.self,
@@ -237,90 +244,90 @@
     });
   }
 
-  #summarize(
+  #sendSummaries(
     { summarizeFor }: ReportPlan,
-    near: readonly SeenMember[],
+    localPeers: readonly SeenMember[],
     nowMs: number,
   ): void {
     const { sendReport, state: { known } } = this.#parts;
     const prefixes = this.#summaryPrefixes.take(MAX_REGION_PREFIXES);
-    const ends = this.#ends.take("summary", nowMs);
-    const heard = new Map(
-      near.map(({ member, sequence }) => [member.id, sequence]),
+    const ends = this.#crashGossip.takeForReport("summary", nowMs);
+    const receivedSequences = new Map(
+      localPeers.map(({ member, sequence }) => [member.id, sequence]),
     );
     sendReport(
       this.#writer.createSum("summary", { ends, known, prefixes, nowMs }),
       toAddresses(summarizeFor),
       {
-        echoes: summarizeFor.map(({ id }) => heard.get(id) ?? 0),
+        echoes: summarizeFor.map(({ id }) => receivedSequences.get(id) ?? 0),
         isCompressed: true,
       },
     );
   }
 
   /**
-   * Tells the other regions of the own one.
+   * Sends a report on the own region to the other regions.
    *
-   * @param reporters How many instances of each region speak and are spoken to.
+   * @param representativeCount Number of representatives of each region that send and receive.
    */
-  #reportRegion(reporters: number): void {
+  #reportToRemoteRegions(representativeCount: number): void {
     const { clock, fleet, sendReport, state: { known } } = this.#parts;
     const nowMs = clock.nowMs();
     const rank = fleet.readReporterRank(nowMs);
-    if (rank === undefined || rank >= reporters) return;
-    const far = fleet.listReceivers(reporters, nowMs);
-    if (far.length === 0) return;
+    if (rank === undefined || rank >= representativeCount) return;
+    const receivers = fleet.listReceivers(representativeCount, nowMs);
+    if (receivers.length === 0) return;
     const prefixes = this.#regionPrefixes.take(MAX_REGION_PREFIXES);
-    const ends = this.#ends.take("region", nowMs);
+    const ends = this.#crashGossip.takeForReport("region", nowMs);
     sendReport(
       this.#writer.createSum("region", { ends, known, prefixes, nowMs }),
-      toAddresses(far),
+      toAddresses(receivers),
       { isCompressed: isLargeRegion(fleet.listNearSeen(nowMs)) },
     );
   }
 
   /**
-   * Tells the own region what another one reports: only its first reporter hears of
-   * all. In a large region it tells the other aggregators, and each tells those
-   * that it sums up for.
+   * Forwards the report of another region inside the own one: only the first
+   * representative receives all reports of other regions. In a large region it sends them
+   * to the other aggregators, and each aggregator to the members that it summarizes for.
    */
-  #passOn(report: FleetReport, nowMs: number): void {
+  #forwardRegionReport(report: FleetReport, nowMs: number): void {
     const { fleet, sendReport } = this.#parts;
     if (report.scope !== "region") return;
     const isFirst = fleet.readReporterRank(nowMs) === 0;
-    const near = fleet.listNearSeen(nowMs);
-    if (!isLargeRegion(near)) {
-      if (isFirst) sendReport(report, near.map(({ member }) => member.address));
+    const seen = fleet.listNearSeen(nowMs);
+    if (!isLargeRegion(seen)) {
+      if (isFirst) sendReport(report, seen.map(({ member }) => member.address));
       return;
     }
-    const plan = this.#plan(near, nowMs);
+    const plan = this.#planReports(seen, nowMs);
     const others = isFirst ? plan.reportTo : [];
     sendReport(report, toAddresses([...others, ...plan.summarizeFor]), {
       isCompressed: true,
     });
   }
 
-  /** Greets instances that are known by address only, and asks whom they know. */
-  #contactOthers(): void {
+  /** Contacts instances of which only the address is known, and asks which members they know. */
+  #contactUnknownInstances(): void {
     const { clock, fleet, random, sendReport, state } = this.#parts;
     const nowMs = clock.nowMs();
     const live = new Set(toAddresses(fleet.listLive(nowMs)));
     const isUnknown = (address: string) =>
       address !== fleet.self.address && !live.has(address);
-    const named = state.instanceAddresses.filter(isUnknown);
+    const registered = state.instanceAddresses.filter(isUnknown);
     const picked = Array.from(
-      { length: GREETED_AT_ONCE },
-      () => pickRandom(named, random) ?? [],
+      { length: MAX_CONTACTS_BESIDE_SEEDS },
+      () => pickRandom(registered, random) ?? [],
     ).flat();
     const seeds = this.#seedAddresses.filter(isUnknown);
-    const greeted = [...new Set([...seeds, ...picked])];
-    if (greeted.length === 0) return;
+    const contacted = [...new Set([...seeds, ...picked])];
+    if (contacted.length === 0) return;
     const report = this.#writer.createReport({
       known: state.known,
       prefixes: [],
       nowMs,
     });
-    sendReport({ ...report, wantsNews: true }, greeted);
+    sendReport({ ...report, wantsNews: true }, contacted);
   }
 }
 
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -38,7 +38,7 @@
 import type { CallQuarantine, ReportedEnds } from "../quarantine/mod.ts";
 import type { PeerHandlers, PeerMethod, PeerMethods } from "../peers/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
-import { EndsNews } from "./ends_news.ts";
+import { CrashGossip } from "./ends_news.ts";
 import { createPeerHandlers } from "./peer_handlers.ts";
 import { createRoutes, type Routes } from "./routes.ts";
 import { startControllers } from "./start_controllers.ts";
@@ -65,7 +65,7 @@
   readonly ledger = new CreditLedger();
   readonly retries = new RetryBudget();
   readonly quarantine: CallQuarantine;
-  readonly #ends: EndsNews;
+  readonly #crashGossip: CrashGossip;
   readonly usage = new UsageMeter();
   /** How far the placements of the region are, where this daemon holds its lease. */
   readPlacements: () => readonly PlacementStatus[] = () => [];
@@ -117,7 +117,7 @@
       report: (message) => parts.logger.warn(message),
     });
     this.quarantine = new QuarantineGuard({ logger: parts.logger }).quarantine;
-    this.#ends = new EndsNews(this.quarantine);
+    this.#crashGossip = new CrashGossip(this.quarantine);
     this.configuration.subscribe(() => this.#applyCatalog());
     this.#handlers = createPeerHandlers(this);
     this.#routes = createRoutes(this);
@@ -204,15 +204,15 @@
   /** Returns what the heartbeats of one tick tell of calls under which servers ended. */
   takeEnds(): (isFar: boolean) => readonly ReportedEnds[] {
     const nowMs = this.parts.clock.nowMs();
-    this.#ends.gather(nowMs);
-    const near = this.#ends.take("near", nowMs);
-    return (isFar) => isFar ? this.#ends.listForAnswer(nowMs) : near;
+    this.#crashGossip.gatherOwn(nowMs);
+    const near = this.#crashGossip.takeForReport("near", nowMs);
+    return (isFar) => isFar ? this.#crashGossip.listForAnswer(nowMs) : near;
   }
 
   /** Takes a heartbeat. */
   receiveHeartbeat(heartbeat: Heartbeat): void {
     const { ends = [] } = heartbeat;
-    this.#ends.learn(ends, this.parts.clock.nowMs(), ["near"]);
+    this.#crashGossip.mergeReports(ends, this.parts.clock.nowMs(), ["near"]);
     const answers = this.membership.applyHeartbeat(
       heartbeat,
       this.parts.clock.nowMs(),
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -39,11 +39,11 @@
 import type { StateSource } from "../state/mod.ts";
 import type { Result } from "neverthrow";
 import { FleetReporter } from "./fleet_reporter.ts";
-import { LimitNews } from "./limit_news.ts";
-import { Departure, type LeaveOptions } from "./departure.ts";
+import { LimitGossip } from "./limit_news.ts";
+import { GracefulShutdown, type ShutdownOptions } from "./departure.ts";
 import { PeerCatchUp, type ReadPeerState } from "./peer_catch_up.ts";
 
-/** Pause between sweeps of what is gone, in milliseconds. */
+/** Interval between sweeps of expired state, in milliseconds. */
 const SWEEP_INTERVAL_MS = 250;
 
 const DEFAULT_LIMIT_BOUNDS: LimitBounds = {
@@ -52,91 +52,100 @@
   slack: 0,
 };
 
-/** What a source of routes and servers changes. */
+/** Recipients of what a source of routes and servers reads. */
 export interface StateSinks {
+  /** Registry of the servers, which the source updates. */
   readonly registry: ServerRegistry;
-  /** Takes each configuration that comes into force. */
+  /** Applies each configuration that comes into force. */
   readonly applyTable: (table: RouteTable) => void;
   /** Called after each change of the registry. */
   readonly onServers: () => void;
-  /** Takes a refused call that is kept in the store. */
+  /** Called with each quarantined call that is stored in the store. */
   readonly onRefusedCall: (ends: ReportedEnds) => void;
-  /** Called when the store has come back from an older copy. */
+  /** Called when the store has been restored from an older copy. */
   readonly onRestored: () => void;
   /** Whether this instance follows the store for its region. */
   readonly isRelay: () => boolean;
 }
 
-/** Ports and settings of a gateway. */
+/** Ports and settings of an {@linkcode HttpGateway}. */
 export interface HttpGatewayParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: Metrics;
+  /** Reads and writes the headers of calls. */
   readonly grammar: CallGrammar;
-  /** Sends to backend servers. */
+  /** Sends calls to backend servers. */
   readonly client: ServerClient;
-  /** Sends to other instances. */
+  /** Sends calls to other instances. */
   readonly peerClient: ServerClient;
+  /** Record of this instance. */
   readonly self: Omit<MemberRecord, "state">;
-  /** Addresses of a few instances; they may be gone. */
+  /** Addresses of a few instances, some of which may be dead. */
   readonly seedAddresses: readonly string[];
   /** Creates the source of routes and servers. */
   readonly createState: (sinks: StateSinks) => StateSource;
+  /** Bounds on retries. */
   readonly repeatBounds: RepeatBounds;
-  /** What cold servers bear. */
+  /** Bounds on calls to cold servers. */
   readonly warmUpBounds: WarmUpBounds;
-  /** What may run beyond the limits of teams. Default: nothing, in 8 s. */
+  /** Usage allowed beyond the limits of teams. Default: none, over a window of 8 s. */
   readonly limitBounds?: LimitBounds;
-  /** Keeps a refused call where instances that start later find it. Default: it is kept nowhere. */
+  /** Stores a quarantined call for instances that start later. Default: it is not stored. */
   readonly keepRefusedCall?: (ends: ReportedEnds) => void;
+  /** Sends a report to addresses. */
   readonly sendReport: SendReport;
   /**
-   * Reads what the instance at an address knows beyond a position. Default: none,
-   * the source spreads its changes itself.
+   * Reads the state that the instance at an address knows beyond a position. Default: not
+   * read, as the source distributes its changes itself.
    */
   readonly readPeerState?: ReadPeerState;
-  /** Reads which prompt parts the engine at an address holds. Default: it is learned from what is sent. */
+  /** Reads which prompt parts the engine at an address has cached. Default: not read, but derived from the prompts sent to it. */
   readonly readHeldParts?: (
     address: string,
     signal: AbortSignal,
   ) => Promise<Result<HeldParts, string>>;
-  /** Takes the bounds on callers of each configuration. */
+  /** Applies the limits on callers of each configuration. */
   readonly applyLimits: (limits: CallerLimits) => void;
-  /** Takes the addresses of the servers, after each change. */
+  /** Called with the addresses of all servers after each change. */
   readonly applyAddresses: (addresses: ReadonlySet<string>) => void;
 }
 
-/** Settings of a gateway that can change while it runs. */
+/** Settings of an {@linkcode HttpGateway} that can change while it runs. */
 export type LiveSettings = Pick<
   HttpGatewayParts,
   "seedAddresses" | "repeatBounds"
 >;
 
-/** One instance that forwards plain HTTP calls, without its sockets. */
+/** Instance that forwards plain HTTP calls, without its sockets. */
 export class HttpGateway {
-  /** How far this process is behind; counted from `start` on. */
+  /** Delay of the event loop, measured from `start` on. */
   readonly loopDelay: LoopDelay;
+  /** View of the instances. */
   readonly fleet: FleetView;
+  /** Forwards calls to servers and to other instances. */
   readonly forwarder: CallForwarder;
+  /** Source of routes and servers. */
   readonly state: StateSource;
+  /** Registry of the servers. */
   readonly registry: ServerRegistry;
   readonly #parts: HttpGatewayParts;
   readonly #catchUp: PeerCatchUp | undefined;
-  readonly #turns: TurnGate;
+  readonly #eventLoopGate: TurnGate;
   readonly #reporter: FleetReporter;
-  readonly #answers: AnswerRecorder;
-  #departure: Departure | undefined;
-  #hasAskedEngines = false;
-  #ended: AbortSignal | undefined;
+  readonly #answerRecorder: AnswerRecorder;
+  #shutdown: GracefulShutdown | undefined;
+  #hasReadPrefixCaches = false;
+  #signal: AbortSignal | undefined;
 
   /** @param parts Ports and settings. */
   constructor(parts: HttpGatewayParts) {
     const { clock, logger, random } = parts;
     this.#parts = parts;
     this.loopDelay = new LoopDelay(clock);
-    this.#turns = new TurnGate(clock);
-    this.#answers = new AnswerRecorder(parts);
+    this.#eventLoopGate = new TurnGate(clock);
+    this.#answerRecorder = new AnswerRecorder(parts);
     const loads = new LoadBoard();
     this.fleet = new FleetView({
       self: parts.self,
@@ -167,13 +176,14 @@
       applyTable: (table) => {
         parts.applyLimits(table.configuration.limits);
         this.forwarder.setTable(table);
-        if (this.#departure === undefined) this.fleet.setState("ready");
+        if (this.#shutdown === undefined) this.fleet.setState("ready");
       },
       onServers: () => this.#applyServers(),
       onRefusedCall: (ends) =>
         void this.forwarder.quarantine.learn([ends], clock.nowMs()),
       onRestored: () => {
-        // All know the same calls: those that follow the store write them.
+        // All instances know the same quarantined calls, so only the relays, which follow
+        // the store, write them.
         if (this.#isRelay()) this.forwarder.keepRefusedCalls();
       },
       isRelay: () => this.#isRelay(),
@@ -198,7 +208,7 @@
       learnPrefixes: (prefixes) => this.forwarder.learnPrefixes(prefixes),
       listUses: (nowMs) => this.forwarder.listUses(nowMs),
       quarantine: this.forwarder.quarantine,
-      limits: new LimitNews({
+      limits: new LimitGossip({
         ownRegion: parts.self.region,
         limits: this.forwarder.limits,
         logger,
@@ -212,22 +222,22 @@
     });
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether callers may be directed to this instance. */
   get isReady(): boolean {
-    return this.state.isLoaded && this.#departure === undefined;
+    return this.state.isLoaded && this.#shutdown === undefined;
   }
 
   /**
    * Returns the instances that a caller may connect to.
    *
-   * @param region Of the caller.
-   * @param host Which it wants to call.
+   * @param region Region of the caller.
+   * @param host Host that the caller wants to call.
    */
   pickEntries(region: RegionId, host: string): EntryAnswer {
     const findHomes = () => this.forwarder.findHomes(host);
     const nowMs = this.#parts.clock.nowMs();
     const answer = pickEntries(this.fleet, { region, findHomes }, nowMs);
-    this.#answers.record({
+    this.#answerRecorder.record({
       ...answer,
       region,
       host,
@@ -237,20 +247,21 @@
     return answer;
   }
 
-  /** Starts following the store and talking to other instances. */
+  /** Starts following the store and exchanging reports with other instances. */
   start(signal: AbortSignal): void {
     const { clock } = this.#parts;
-    this.#ended = signal;
+    this.#signal = signal;
     this.loopDelay.start(signal);
     void this.state.run(signal);
     this.#reporter.start(signal);
-    // After a pause of the process the reports that wait are read first: one turn.
+    // After a stall of the process, one event loop iteration reads the reports that wait
+    // before the sweep.
     const sweepAfterReading = () =>
       clock.schedule(0, () => this.#sweep(), signal);
     scheduleEvery(clock, SWEEP_INTERVAL_MS, sweepAfterReading, signal);
   }
 
-  /** Takes settings that can change while it runs. */
+  /** Applies settings that can change while the instance runs. */
   applySettings(settings: LiveSettings): void {
     this.#reporter.setSeedAddresses(settings.seedAddresses);
     this.forwarder.setRepeatBounds(settings.repeatBounds);
@@ -258,54 +269,55 @@
 
   /** Serves one call. */
   async handle(call: OpaqueCall, sink: CallSink): Promise<void> {
-    if (!await this.#turns.enter()) {
+    if (!await this.#eventLoopGate.enter()) {
       this.#refuseOverloaded(call, sink);
       return;
     }
     if (sink.signal.aborted) return;
-    const departure = this.#departure;
-    if (departure === undefined || departure.stage === "taking") {
+    const shutdown = this.#shutdown;
+    if (shutdown === undefined || shutdown.stage === "taking") {
       await this.forwarder.handle(call, sink);
       return;
     }
-    const isServed = await departure.serveLate(
+    const isServed = await shutdown.serveLateCall(
       () => this.forwarder.findDueMs(call),
       () => this.forwarder.handle(call, sink),
     );
     if (!isServed) this.#refuseLeaving(call, sink);
   }
 
-  /** Takes a report of another instance. */
+  /** Applies a report of another instance. */
   receiveReport(report: FleetReport, from: string): void {
     this.#reporter.receive(report, from);
   }
 
   /**
-   * Leaves: tells the others at once, goes on with what is in flight, and
-   * resolves when it is done or the grace is nearly over.
+   * Shuts down gracefully: reports this to the other instances at once, completes the calls
+   * in flight, and resolves when none is left or the grace period is nearly over.
    *
-   * @param options The grace, and the sockets that callers use.
+   * @param options Grace period, and functions of the sockets that callers use.
    */
-  async leave(options: LeaveOptions): Promise<void> {
+  async leave(options: ShutdownOptions): Promise<void> {
     const { clock, logger } = this.#parts;
-    this.#departure = new Departure({
+    this.#shutdown = new GracefulShutdown({
       ...options,
       clock,
       logger,
       fleet: this.fleet,
-      tellOthers: () => this.#reporter.tellAll(),
-      countServed: () => this.forwarder.inFlight,
+      sendReports: () => this.#reporter.reportToAllRegions(),
+      countActiveCalls: () => this.forwarder.inFlight,
     });
-    await this.#departure.run();
+    await this.#shutdown.run();
   }
 
   #refuseLeaving(call: OpaqueCall, sink: CallSink): void {
     this.forwarder.refuse(call, sink, {
       reason: "leaving",
       message: "This instance is leaving",
-      // Another may take it. Told when the next process is there, all would come back
-      // at once to one that has just started: on three played days of restarts, one
-      // play each, 59 to 66% of the calls were answered in time in place of 70 to 76%.
+      // Another instance may accept the call. With the start of the next process as the time
+      // to retry, all callers would return at once to an instance that has just started: on
+      // three simulated days of restarts, one run each, 59 to 66% of the calls were answered
+      // in time instead of 70 to 76%.
       retryAfterMs: 0,
     });
   }
@@ -317,7 +329,7 @@
       call: grammar.readCall(call.headers).callId,
       reason: "overloaded",
       unreadMs: Math.round(call.unreadMs),
-      waitMs: Math.round(this.#turns.waitMs),
+      waitMs: Math.round(this.#eventLoopGate.waitMs),
     });
     this.forwarder.refuse(call, sink, {
       reason: "overloaded",
@@ -330,42 +342,48 @@
     this.fleet.setNamedCount(this.state.instanceAddresses.length);
     this.forwarder.countFleet();
     this.forwarder.forgetGone();
-    this.#askEngines();
+    this.#readPrefixCaches();
     this.forwarder.wake();
-    // The others of the region wait for what their relays hear of.
-    if (this.#isRelay()) this.#reporter.tellNear();
+    // The other instances of the region get changes of the store from its relays.
+    if (this.#isRelay()) this.#reporter.reportToLocalRegion();
     this.#parts.applyAddresses(
       new Set(this.registry.servers.map(({ entry }) => entry.address)),
     );
   }
 
   /**
-   * Asks the engines of the own region, once after a start, what their memory
-   * holds: it outlives the instances, and prompts that are read again hold up
-   * all others. Engines that come later start empty.
+   * Reads, once after the start, which prompt parts the engines of the own region have
+   * cached. These caches outlive the instances, and a prompt that is prefilled again delays
+   * all other calls of its engine. Engines that start later begin with an empty cache.
    */
-  #askEngines(): void {
-    if (this.#hasAskedEngines || !this.state.isLoaded) return;
+  #readPrefixCaches(): void {
+    if (this.#hasReadPrefixCaches || !this.state.isLoaded) return;
     const engines = this.forwarder.listEngines(this.fleet.self.region);
-    this.#hasAskedEngines = engines.length > 0;
-    engines.forEach((engine) => void this.#askEngine(engine));
+    this.#hasReadPrefixCaches = engines.length > 0;
+    engines.forEach((engine) => void this.#readPrefixCache(engine));
   }
 
-  async #askEngine(
+  async #readPrefixCache(
     { address, id, startedMs }: RegisteredServer,
   ): Promise<void> {
     const { logger, readHeldParts } = this.#parts;
-    if (readHeldParts === undefined || this.#ended === undefined) return;
-    const held = await readHeldParts(address, this.#ended);
-    if (held.isErr()) {
-      logger.warn("engine memory not read", { server: id, reason: held.error });
+    if (readHeldParts === undefined || this.#signal === undefined) return;
+    const cached = await readHeldParts(address, this.#signal);
+    if (cached.isErr()) {
+      logger.warn("engine memory not read", {
+        server: id,
+        reason: cached.error,
+      });
       return;
     }
-    const { parts, startedMs: saidBy } = held.value;
-    const isSame = startedMs === undefined || saidBy === undefined ||
-      saidBy === startedMs;
+    const { parts, startedMs: reportedStartMs } = cached.value;
+    const isSame = startedMs === undefined || reportedStartMs === undefined ||
+      reportedStartMs === startedMs;
     if (!isSame) {
-      logger.warn("engine memory of another start", { server: id, saidBy });
+      logger.warn("engine memory of another start", {
+        server: id,
+        reportedStartMs,
+      });
       return;
     }
     logger.info("engine memory read", { server: id, parts: parts.length });
@@ -382,7 +400,7 @@
     const { clock, metrics } = this.#parts;
     const nowMs = clock.nowMs();
     this.fleet.sweep(nowMs);
-    // Who is dropped must count as unheard from the same moment on.
+    // An instance that the sweep drops has to count as silent at once.
     this.forwarder.countFleet();
     this.state.sweep();
     const { configurationVersion, store } = this.state.known;
--- a/daemon/judge_departure.ts
+++ b/daemon/judge_departure.ts
@@ -1,83 +1,91 @@
 /**
- * How long an instance that leaves takes calls of every length, in milliseconds:
- * callers hear of its leaving within a few answers.
+ * Time from the start of a shutdown during which calls of any length are accepted, in
+ * milliseconds. Callers learn of the shutdown within a few answers.
  */
-export const LEAVING_TAKES_CALLS_MS = 2_500;
+export const ACCEPT_ALL_CALLS_MS = 2_500;
 /**
- * How long an instance refuses callers before it ends, in milliseconds: those that have
- * just called, or wait to be accepted, get their answer. Four looks at what is in
- * flight. A process that was 0.2 s behind and ended at once left a call unread.
+ * Minimum time for which all calls are refused before the process exits, in milliseconds.
+ * Calls that have just been sent, and connections that wait to be accepted, still get an
+ * answer. It spans four checks for calls in flight: a process whose event loop was 0.2 s
+ * behind and that exited at once left a call unread.
  */
-const CLOSING_MS = 200;
-/** Left of the grace when everything is closed, in milliseconds. */
+const MIN_CLOSING_MS = 200;
+/** Time between the close of all connections and the end of the grace period, in milliseconds. */
 const GRACE_MARGIN_MS = 300;
 /**
- * Time that a call taken late must have left over at the end of the grace, in
- * milliseconds: four looks at what is in flight, and the answer on its way.
+ * Minimum time between the deadline of a late call and the close of all connections, in
+ * milliseconds. It covers four checks for calls in flight and the transfer of the answer.
  */
 const LATE_CALL_MARGIN_MS = 200;
 
-/** When an instance leaves. */
-export interface DepartureTimes {
-  /** When it began. */
-  readonly sinceMs: number;
-  /** Time from then until the process is killed, in milliseconds. */
+/** Start and grace period of a graceful shutdown. */
+export interface ShutdownTimes {
+  /** Time at which the shutdown began, in milliseconds. */
+  readonly startMs: number;
+  /** Time from the start until the process is killed, in milliseconds. */
   readonly graceMs: number;
 }
 
-/** What decides which calls an instance that leaves takes. */
-export interface DepartureFacts {
+/** Facts that decide which calls an instance accepts during its shutdown. */
+export interface ShutdownFacts {
+  /** Current time, in milliseconds. */
   readonly nowMs: number;
-  /** Calls being served that it took before or in its first seconds. */
-  readonly awaited: number;
-  /** Whether another instance of its region takes calls. */
-  readonly hasStandIn: boolean;
+  /** Number of calls in flight that were accepted before the shutdown or in its first seconds. */
+  readonly earlyCalls: number;
+  /** Whether another instance of the region accepts calls. */
+  readonly hasReadyPeer: boolean;
 }
 
 /**
- * Which calls an instance that leaves takes: all (`taking`), those that end before it
- * does (`lingering`), or none (`closing`).
+ * Which calls an instance accepts during its shutdown: all (`taking`), those that complete
+ * before all connections are closed (`lingering`), or none (`closing`).
  */
-export type DepartureStage = "taking" | "lingering" | "closing";
+export type ShutdownStage = "taking" | "lingering" | "closing";
 
 /**
- * Returns which calls an instance that leaves takes. One that has to wait for long
- * answers goes on taking short calls while its region has no other: all instances of
- * three regions restarted within seconds left callers with nobody for 5 s.
+ * Returns which calls an instance accepts during its shutdown. An instance that waits for
+ * long answers goes on accepting short calls while no other instance of its region is
+ * ready: otherwise, when all instances of three regions restarted within seconds, callers
+ * had no instance to call for 5 s.
  */
-export function judgeDeparture(
-  { sinceMs }: DepartureTimes,
-  { awaited, hasStandIn, nowMs }: DepartureFacts,
-): DepartureStage {
-  if (nowMs - sinceMs <= LEAVING_TAKES_CALLS_MS) return "taking";
-  return awaited > 0 && !hasStandIn ? "lingering" : "closing";
+export function decideShutdownStage(
+  { startMs }: ShutdownTimes,
+  { earlyCalls, hasReadyPeer, nowMs }: ShutdownFacts,
+): ShutdownStage {
+  if (nowMs - startMs <= ACCEPT_ALL_CALLS_MS) return "taking";
+  return earlyCalls > 0 && !hasReadyPeer ? "lingering" : "closing";
 }
 
-/** What decides whether an instance that leaves may end. */
-export interface DepartureEnd {
-  readonly stage: DepartureStage;
-  /** For how long it has been in that stage, in milliseconds. */
+/** Facts that decide whether the process may exit before its grace period ends. */
+export interface ExitFacts {
+  /** Current stage of the shutdown. */
+  readonly stage: ShutdownStage;
+  /** Time since the stage began, in milliseconds. */
   readonly stageMs: number;
-  /** Answers that are not yet with their callers. */
+  /** Number of answers that have not been sent completely. */
   readonly openCount: number;
 }
 
-/** Whether an instance that leaves may end before its grace does. */
-export function hasDone({ openCount, stage, stageMs }: DepartureEnd): boolean {
-  return stage === "closing" && stageMs >= CLOSING_MS && openCount === 0;
+/** Returns whether the process may exit before its grace period ends. */
+export function mayExit({ openCount, stage, stageMs }: ExitFacts): boolean {
+  return stage === "closing" && stageMs >= MIN_CLOSING_MS && openCount === 0;
 }
 
-/** Returns when everything has to be closed. */
-export function findEndMs({ graceMs, sinceMs }: DepartureTimes): number {
-  return sinceMs + graceMs - GRACE_MARGIN_MS;
+/** Returns the time at which all connections have to be closed, in milliseconds. */
+export function computeCloseMs({ graceMs, startMs }: ShutdownTimes): number {
+  return startMs + graceMs - GRACE_MARGIN_MS;
 }
 
 /**
- * Whether a call taken now has its answer, or its time over, before the process ends.
+ * Returns whether a call is answered, or its deadline has passed, before all connections
+ * are closed.
  *
- * @param times When it leaves.
- * @param dueMs When the time of the call is over.
+ * @param times Start and grace period of the shutdown.
+ * @param deadlineMs Deadline of the call, in milliseconds.
  */
-export function isOverInTime(times: DepartureTimes, dueMs: number): boolean {
-  return dueMs <= findEndMs(times) - LATE_CALL_MARGIN_MS;
+export function isDoneBeforeClose(
+  times: ShutdownTimes,
+  deadlineMs: number,
+): boolean {
+  return deadlineMs <= computeCloseMs(times) - LATE_CALL_MARGIN_MS;
 }
--- a/daemon/judge_departure_test.ts
+++ b/daemon/judge_departure_test.ts
@@ -1,53 +1,57 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import {
-  findEndMs,
-  hasDone,
-  isOverInTime,
-  judgeDeparture,
-  LEAVING_TAKES_CALLS_MS,
+  ACCEPT_ALL_CALLS_MS,
+  computeCloseMs,
+  decideShutdownStage,
+  isDoneBeforeClose,
+  mayExit,
 } from "./judge_departure.ts";
 
-const TIMES = { sinceMs: 1_000, graceMs: 8_000 };
-const EARLY_MS = TIMES.sinceMs + LEAVING_TAKES_CALLS_MS;
+const TIMES = { startMs: 1_000, graceMs: 8_000 };
+const EARLY_MS = TIMES.startMs + ACCEPT_ALL_CALLS_MS;
 const LATE_MS = EARLY_MS + 1;
 
-describe("judgeDeparture()", () => {
-  it("takes all calls in the first seconds", () => {
-    [0, 5].forEach((awaited) =>
-      [true, false].forEach((hasStandIn) =>
+describe("decideShutdownStage()", () => {
+  it("accepts all calls in the first seconds", () => {
+    [0, 5].forEach((earlyCalls) =>
+      [true, false].forEach((hasReadyPeer) =>
         assert.equal(
-          judgeDeparture(TIMES, { nowMs: EARLY_MS, awaited, hasStandIn }),
+          decideShutdownStage(TIMES, {
+            nowMs: EARLY_MS,
+            earlyCalls,
+            hasReadyPeer,
+          }),
           "taking",
         )
       )
     );
   });
 
-  it("goes on only while it waits for answers and no other takes calls", () => {
-    const judge = (awaited: number, hasStandIn: boolean) =>
-      judgeDeparture(TIMES, { nowMs: LATE_MS, awaited, hasStandIn });
-    assert.equal(judge(1, false), "lingering");
-    assert.equal(judge(1, true), "closing");
-    assert.equal(judge(0, false), "closing");
+  it("accepts short calls only while answers are pending and no other instance is ready", () => {
+    const decide = (earlyCalls: number, hasReadyPeer: boolean) =>
+      decideShutdownStage(TIMES, { nowMs: LATE_MS, earlyCalls, hasReadyPeer });
+    assert.equal(decide(1, false), "lingering");
+    assert.equal(decide(1, true), "closing");
+    assert.equal(decide(0, false), "closing");
   });
 });
 
-describe("isOverInTime()", () => {
-  it("leaves a margin before the end, which lies before the kill", () => {
-    const endMs = findEndMs(TIMES);
-    assert.ok(endMs < TIMES.sinceMs + TIMES.graceMs);
-    assert.ok(isOverInTime(TIMES, endMs - 200));
-    assert.ok(!isOverInTime(TIMES, endMs - 199));
+describe("isDoneBeforeClose()", () => {
+  it("leaves a margin before the close, which precedes the end of the grace period", () => {
+    const closeMs = computeCloseMs(TIMES);
+    assert.ok(closeMs < TIMES.startMs + TIMES.graceMs);
+    assert.ok(isDoneBeforeClose(TIMES, closeMs - 200));
+    assert.ok(!isDoneBeforeClose(TIMES, closeMs - 199));
   });
 });
 
-describe("hasDone()", () => {
-  it("waits for what is in flight, and for those who have just called", () => {
+describe("mayExit()", () => {
+  it("is false while calls are in flight or have just been sent", () => {
     const end = { stage: "closing", stageMs: 200, openCount: 0 } as const;
-    assert.ok(hasDone(end));
-    assert.ok(!hasDone({ ...end, openCount: 1 }));
-    assert.ok(!hasDone({ ...end, stageMs: 199 }));
-    assert.ok(!hasDone({ ...end, stage: "lingering" }));
+    assert.ok(mayExit(end));
+    assert.ok(!mayExit({ ...end, openCount: 1 }));
+    assert.ok(!mayExit({ ...end, stageMs: 199 }));
+    assert.ok(!mayExit({ ...end, stage: "lingering" }));
   });
 });
--- a/daemon/limit_news.ts
+++ b/daemon/limit_news.ts
@@ -3,41 +3,46 @@
 import type { RegionId } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
 
-/** What news of limits are told from and learned into. */
-export interface LimitNewsParts {
+/** Constructor arguments of {@linkcode LimitGossip}. */
+export interface LimitGossipParts {
+  /** Region of this instance. */
   readonly ownRegion: RegionId;
+  /** Source of the reported limits, which also records received ones. */
   readonly limits: ServerLimits;
   readonly logger: Logger;
 }
 
-/** What reports tell of the limits that servers name. */
-export class LimitNews {
-  readonly #parts: LimitNewsParts;
+/** Limits that servers advertised, in the reports that instances exchange. */
+export class LimitGossip {
+  readonly #parts: LimitGossipParts;
 
-  /** @param parts Limits, and who is told of news. */
-  constructor(parts: LimitNewsParts) {
+  /** @param parts Known limits and logger. */
+  constructor(parts: LimitGossipParts) {
     this.#parts = parts;
   }
 
-  /** Returns the rows of a report. */
-  list(
+  /** Returns the limits to include in a report of a scope. */
+  listReported(
     scope: FleetReport["scope"],
     nowMs: number,
   ): readonly ReportedLimit[] {
-    const of = scope === "instance" ? "instance" : "region";
-    return this.#parts.limits.listReported(of, nowMs);
+    const reportScope = scope === "instance" ? "instance" : "region";
+    return this.#parts.limits.listReported(reportScope, nowMs);
   }
 
-  /** Takes the rows of another instance's report. */
-  learn({ from, limits = [], scope }: FleetReport, nowMs: number): void {
+  /** Records the limits in another instance's report, and logs those that changed. */
+  recordReported(
+    { from, limits = [], scope }: FleetReport,
+    nowMs: number,
+  ): void {
     if (limits.length === 0) return;
     const { limits: known, logger, ownRegion } = this.#parts;
-    const isOwnWord = scope === "instance" && from.region === ownRegion;
-    const source: LimitSource = isOwnWord ? "member" : "summary";
+    const isFirsthand = scope === "instance" && from.region === ownRegion;
+    const source: LimitSource = isFirsthand ? "member" : "summary";
     known.learn(limits, source, nowMs).forEach(({ perSecond, server }) => {
-      const told = { server, toldBy: from.id };
-      if (perSecond === undefined) logger.info("server names no limit", told);
-      else logger.info("server names a limit", { ...told, perSecond });
+      const fields = { server, toldBy: from.id };
+      if (perSecond === undefined) logger.info("server names no limit", fields);
+      else logger.info("server names a limit", { ...fields, perSecond });
     });
   }
 }
--- a/daemon/peer_catch_up.ts
+++ b/daemon/peer_catch_up.ts
@@ -7,92 +7,98 @@
 import type { StorePosition } from "../store/mod.ts";
 
 /**
- * How long a peer must be ahead before its state is read, in milliseconds, by an
- * instance that follows the store itself, or where the peer is in another region:
- * the own watch, or the relay of the region, is most often as quick.
+ * Minimum time for which peers have to be ahead before a relay reads their state, or any
+ * instance that of a peer in another region, in milliseconds. The watch of the relay, or
+ * the relay of the region, usually delivers the same state as quickly.
  */
-const AHEAD_PATIENCE_MS = 400;
-/** Time after which a second peer is asked beside one that stays silent, in milliseconds. */
-const SECOND_PEER_MS = 400;
-/** How long a peer that did not answer is asked last, in milliseconds. */
-const FAILED_PEER_MS = 3_000;
-/** Peers that are asked at the same time. */
-const MOST_ASKED = 2;
+const MIN_AHEAD_MS = 400;
+/** Time without an answer from a peer after which a second one is read from, in milliseconds. */
+const SECOND_READ_DELAY_MS = 400;
+/** Time after a failed read during which other peers are preferred, in milliseconds. */
+const FAILED_PEER_PENALTY_MS = 3_000;
+/** Maximum number of peers read from at the same time. */
+const MAX_CONCURRENT_READS = 2;
 
 /**
- * Reads what the instance at an address knows beyond a position.
+ * Reads the state that the instance at an address knows beyond a position.
  *
- * @returns The copy, or why there is none.
+ * @returns The copy, or the reason why it could not be read.
  */
 export type ReadPeerState = (
   address: string,
   after: StorePosition,
 ) => Promise<Result<StateCopy, string>>;
 
-/** What catching up needs. */
+/** Constructor arguments of {@linkcode PeerCatchUp}. */
 export interface PeerCatchUpParts {
   readonly clock: Clock;
+  /** View of the instances. */
   readonly fleet: FleetView;
+  /** State to bring up to date. */
   readonly state: StateSource;
   readonly logger: Logger;
+  /** Reads the state of a peer. */
   readonly readPeerState: ReadPeerState;
 }
 
 /**
- * Reads the state of peers that know more of the store. For the instances that
- * do not follow the store themselves this is the usual way; for the others it
- * stands in while the store does not answer them.
+ * Reads the state of peers that know a newer state of the store. Instances that don't
+ * follow the store themselves get its changes this way; for relays it is the fallback while
+ * the store doesn't answer them.
  */
 export class PeerCatchUp {
   readonly #parts: PeerCatchUpParts;
-  /** When each peer that has not answered yet was asked. */
-  readonly #askedMs = new Map<InstanceId, number>();
+  /** Time at which each pending read began, by peer. */
+  readonly #readStartMs = new Map<InstanceId, number>();
+  /** Time of the last failed read, by peer. */
   readonly #failedMs = new Map<InstanceId, number>();
   #aheadSinceMs: number | undefined;
 
-  /** @param parts Members, and the state to bring up to date. */
+  /** @param parts Ports, members and the state to bring up to date. */
   constructor(parts: PeerCatchUpParts) {
     this.#parts = parts;
   }
 
-  /** Reads from a peer if one is ahead. */
+  /** Starts a read from a peer if one is ahead. */
   check(): void {
     const { clock, fleet, state } = this.#parts;
     const nowMs = clock.nowMs();
-    const ahead = fleet.listAhead(state.known, nowMs);
-    if (ahead.length === 0) {
+    const aheadPeers = fleet.listAhead(state.known, nowMs);
+    if (aheadPeers.length === 0) {
       this.#aheadSinceMs = undefined;
       return;
     }
     this.#aheadSinceMs ??= nowMs;
-    const isPatient = nowMs - this.#aheadSinceMs < AHEAD_PATIENCE_MS;
+    const isDelayed = nowMs - this.#aheadSinceMs < MIN_AHEAD_MS;
     const isRelay = fleet.isRelay(state.known, nowMs);
-    const mayAsk = (peer: MemberRecord) =>
-      !isPatient || !isRelay && peer.region === fleet.self.region;
-    const peer = this.#pickPeer(ahead.filter(mayAsk), nowMs);
+    const mayReadFrom = (peer: MemberRecord) =>
+      !isDelayed || !isRelay && peer.region === fleet.self.region;
+    const peer = this.#pickPeer(aheadPeers.filter(mayReadFrom), nowMs);
     if (peer !== undefined) void this.#read(peer);
   }
 
-  /** Picks who is asked next: one at a time, another one beside it if it is silent. */
+  /** Picks the next peer to read from: one at a time, and a second one if the first is slow to answer. */
   #pickPeer(
     peers: readonly MemberRecord[],
     nowMs: number,
   ): MemberRecord | undefined {
-    const askedMs = [...this.#askedMs.values()];
-    const isWaiting = askedMs.some((atMs) => nowMs - atMs < SECOND_PEER_MS);
-    if (isWaiting || askedMs.length >= MOST_ASKED) return undefined;
-    const free = peers.filter(({ id }) => !this.#askedMs.has(id));
-    const answering = free.filter(({ id }) =>
-      nowMs - (this.#failedMs.get(id) ?? -Infinity) > FAILED_PEER_MS
+    const startsMs = [...this.#readStartMs.values()];
+    const isWaiting = startsMs.some((startMs) =>
+      nowMs - startMs < SECOND_READ_DELAY_MS
     );
-    return answering[0] ?? free[0];
+    if (isWaiting || startsMs.length >= MAX_CONCURRENT_READS) return undefined;
+    const idle = peers.filter(({ id }) => !this.#readStartMs.has(id));
+    const preferred = idle.filter(({ id }) =>
+      nowMs - (this.#failedMs.get(id) ?? -Infinity) > FAILED_PEER_PENALTY_MS
+    );
+    return preferred[0] ?? idle[0];
   }
 
   async #read({ address, id }: MemberRecord): Promise<void> {
     const { clock, logger, readPeerState, state } = this.#parts;
-    this.#askedMs.set(id, clock.nowMs());
+    this.#readStartMs.set(id, clock.nowMs());
     const copy = await readPeerState(address, state.known.store);
-    this.#askedMs.delete(id);
+    this.#readStartMs.delete(id);
     if (copy.isErr()) {
       this.#failedMs.set(id, clock.nowMs());
       logger.warn("peer state not read", { peer: id, reason: copy.error });
@@ -106,7 +112,7 @@
       revision: copy.value.revision,
       isNewer,
     });
-    // More may have come meanwhile.
+    // Peers may have learned of newer changes during the read.
     if (isNewer) this.check();
   }
 }
--- a/daemon/peer_catch_up_test.ts
+++ b/daemon/peer_catch_up_test.ts
@@ -18,12 +18,12 @@
   isStoreLost: false,
 };
 
-/** A member whose address is its id. */
+/** Returns a member whose address is its id. */
 function createMember(id: string) {
   return { ...createNamedMember(id, id.split("-")[0]), address: id };
 }
 
-/** An instance that is no relay: the first two of its region are others. */
+/** Starts an instance that is not a relay: the first two instances of its region are others. */
 function start(readPeerState: ReadPeerState) {
   const clock = new VirtualClock();
   const fleet = createFleet(createMember("north-9"));
@@ -53,7 +53,7 @@
     },
   });
   let sequence = 0;
-  const hear = (id: string, isAhead: boolean) =>
+  const receiveReport = (id: string, isAhead: boolean) =>
     fleet.applyReport(
       createReport(
         createMember(id),
@@ -64,24 +64,24 @@
       ),
       clock.nowMs(),
     );
-  /** Reports go on, and each tick looks for a peer that is ahead. */
+  /** Advances the clock; every 100 ms members report, and the instance checks for a peer that is ahead. */
   const run = async (ms: number, ids: readonly string[]) => {
     for (let spentMs = 0; spentMs < ms; spentMs += 100) {
-      ids.forEach((id) => hear(id, true));
+      ids.forEach((id) => receiveReport(id, true));
       catchUp.check();
       await clock.advance(100);
     }
   };
-  return { asked, clock, hear, run, readKnown: () => known };
+  return { asked, clock, receiveReport, run, readKnown: () => known };
 }
 
 const serve: ReadPeerState = () => Promise.resolve(ok(createFullCopy(9, [])));
 
 describe("PeerCatchUp", () => {
-  it("asks a peer of the own region at once, and none when it is up to date", async () => {
-    const { asked, hear, readKnown, run } = start(serve);
-    hear("north-1", false);
-    hear("north-2", false);
+  it("reads from a peer of the own region at once, and from none when it is up to date", async () => {
+    const { asked, receiveReport, readKnown, run } = start(serve);
+    receiveReport("north-1", false);
+    receiveReport("north-2", false);
     await run(100, ["north-1", "north-2"]);
     assert.equal(asked.length, 1);
     assert.equal(readKnown().store.revision, 9);
@@ -89,17 +89,17 @@
     assert.equal(asked.length, 1);
   });
 
-  it("waits a little before it asks another region", async () => {
-    const { asked, hear, run } = start(serve);
-    hear("north-1", false);
-    hear("north-2", false);
+  it("waits before it reads from another region", async () => {
+    const { asked, receiveReport, run } = start(serve);
+    receiveReport("north-1", false);
+    receiveReport("north-2", false);
     await run(400, ["south-1"]);
     assert.deepEqual(asked, []);
     await run(200, ["south-1"]);
     assert.deepEqual(asked, ["south-1"]);
   });
 
-  it("asks a second peer beside one that stays silent", async () => {
+  it("reads from a second peer when the first does not answer", async () => {
     const { asked, readKnown, run } = start((address, after) =>
       address === "north-1" ? new Promise(() => {}) : serve(address, after)
     );
@@ -110,7 +110,7 @@
     assert.equal(readKnown().store.revision, 9);
   });
 
-  it("asks others before one that has failed", async () => {
+  it("prefers other peers to one whose read failed", async () => {
     const parts = start(async (address, after) => {
       if (address !== "north-1") return serve(address, after);
       await waitFor(parts.clock, 50);
