--- a/daemon/catalog_state.ts
+++ b/daemon/catalog_state.ts
@@ -18,23 +18,24 @@
 import type { StateCopy, StateSource } from "../state/mod.ts";
 import type { StateSinks } from "./http_gateway.ts";
 
-/** Connections to one server from all instances together, where no resource says it. */
+/** Maximum number of connections to one server from all instances together, as no resource sets it. */
 const MAX_CONNECTIONS = 256;
 
 /**
- * Routes and servers from the project's own resources. The daemon keeps the
- * configuration; what changes in it is put in force here at once.
+ * Source of routes and servers that reads the project's own resources from a
+ * {@linkcode ConfigurationState}, and applies each of its changes at once.
  */
 export class CatalogState implements StateSource {
+  /** Addresses of instances that the store lists: none. */
   readonly instanceAddresses: readonly string[] = [];
   readonly #configuration: ConfigurationState;
   readonly #sinks: StateSinks;
   readonly #nowMs: () => number;
 
   /**
-   * @param configuration What is in force at this daemon.
-   * @param sinks What its changes go to.
-   * @param nowMs Source of time.
+   * @param configuration Configuration in force at this instance.
+   * @param sinks Recipients of its changes.
+   * @param nowMs Returns the current time, in milliseconds.
    */
   constructor(
     configuration: ConfigurationState,
@@ -47,6 +48,7 @@
     configuration.subscribe(() => this.#apply());
   }
 
+  /** Sequence number of the configuration, as the version and the position in the store. */
   get known(): KnownState {
     const { sequence } = this.#configuration;
     return {
@@ -56,15 +58,17 @@
     };
   }
 
+  /** Whether a configuration is loaded. */
   get isLoaded(): boolean {
     return this.#configuration.isLoaded;
   }
 
+  /** Whether the source can be read: once a configuration is loaded. */
   get isReachable(): boolean {
     return this.#configuration.isLoaded;
   }
 
-  /** The daemon spreads its configuration itself: there is nothing to copy. */
+  /** Returns an empty copy: the configuration controller distributes the configuration. */
   createCopy(): StateCopy {
     return {
       revision: 0,
@@ -77,12 +81,15 @@
     };
   }
 
+  /** Ignores copies and returns `false`: the configuration controller applies changes. */
   applyCopy(): boolean {
     return false;
   }
 
+  /** Does nothing: there is no state that expires. */
   sweep(): void {}
 
+  /** Applies the configuration if it is loaded already; later changes arrive by subscription. */
   run(): Promise<void> {
     if (this.isLoaded) this.#apply();
     return Promise.resolve();
@@ -99,8 +106,8 @@
         routes: routes.map((route) => toRoute(catalog, route)),
         services: readResources(catalog, "plain-service").map(toService),
         limits: INITIAL_LIMITS,
-        // Where all routes are public, what callers send in `Authorization` is between
-        // them and the servers.
+        // If all routes are public, the `Authorization` header of callers is meant for the
+        // servers only.
         teams: routes.some(({ spec }) => !spec.public) ? callers : undefined,
       }),
     );
--- a/daemon/catalog_state_test.ts
+++ b/daemon/catalog_state_test.ts
@@ -1,6 +1,4 @@
-// A route whose residency rule is missing, as when an entry that names it arrives
-// without the rule's own, had no homes left and counted as one whose calls may go to
-// any region: no region allowed and every region allowed were both an empty list.
+// Guards against treating a route whose residency rule is missing as free to run in any region: both were an empty list of regions.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ConfigurationState } from "../configuration/mod.ts";
@@ -10,7 +8,7 @@
 import { computeTokenHash, identifyTeam } from "../teams/mod.ts";
 import { CatalogState } from "./catalog_state.ts";
 
-/** Puts changes in force, and returns the table of routes that follows. */
+/** Applies changes, and returns the resulting route table. */
 function applyChanges(changes: readonly ResourceChange[]): RouteTable {
   const configuration = new ConfigurationState();
   let table: RouteTable | undefined;
@@ -48,7 +46,7 @@
   resumable: false,
 };
 
-/** Puts one route in force, with the rule that it names or without. */
+/** Applies one route with an optional residency rule, and returns the home regions of its host. */
 function applyRoute(residency: string | undefined, ...rules: string[]) {
   const table = applyChanges([
     { kind: "http-route", name: "r", spec: { ...SPEC, residency } },
@@ -61,7 +59,7 @@
   return findHostHomes(table.listRoutes("app.example"), () => 0);
 }
 
-describe("the homes of a route", () => {
+describe("home regions of a route", () => {
   it("are the regions of its residency rule", () => {
     assert.deepEqual(applyRoute("eu", "eu"), {
       kind: "bound",
@@ -70,11 +68,11 @@
     });
   });
 
-  it("are all regions where it names no rule", () => {
+  it("are all regions if it names no residency rule", () => {
     assert.deepEqual(applyRoute(undefined), { kind: "anywhere" });
   });
 
-  it("are none where the rule that it names is missing", () => {
+  it("are none if the residency rule that it names is missing", () => {
     assert.deepEqual(applyRoute("eu"), {
       kind: "bound",
       regions: [],
@@ -83,7 +81,7 @@
   });
 });
 
-describe("the teams of plain routes", () => {
+describe("teams of plain HTTP routes", () => {
   const team: ResourceChange = {
     kind: "team",
     name: "roasters",
@@ -103,7 +101,7 @@
       { kind: "http-route", name: "r", spec: { ...SPEC, public: isPublic } },
     ]).configuration.teams;
 
-  it("are those of the catalog, with their keys, homes and requests a second", () => {
+  it("are those of the catalog, with keys, home regions and requests per second", () => {
     const found = identifyTeam(applyTeam(false)!, ["Bearer key-1"]);
     const { homeRegions, id, limit } = found._unsafeUnwrap().team;
     assert.equal(id, "roasters");
@@ -112,7 +110,7 @@
     assert.equal(limit?.unit, "requests");
   });
 
-  it("are none where all routes are public", () => {
+  it("are undefined if all routes are public", () => {
     assert.equal(applyTeam(true), undefined);
   });
 });
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -44,31 +44,46 @@
 import { startControllers } from "./start_controllers.ts";
 import { pullFromPeers, pushToRegion } from "./spread_configuration.ts";
 
-/** Requests that a service's queue holds at one daemon. */
-const QUEUE_LENGTH = 2_000;
-const DRAIN_CHECK_MS = 20;
+/** Maximum number of requests in the queue of a service at one instance. */
+const MAX_QUEUE_LENGTH = 2_000;
+/** Interval between checks for requests in flight during a shutdown, in milliseconds. */
+const DRAIN_CHECK_INTERVAL_MS = 20;
 
 /**
- * One daemon without its sockets: requests, calls of peers and heartbeats come
- * in by its methods, and all it does goes out by the ports it was given.
+ * One instance of the embedded deployment, without its sockets. Requests, calls of peers
+ * and heartbeats are passed to its methods; everything that it sends goes through its ports.
  */
 export class Gateway {
+  /** Ports and settings. */
   readonly parts: GatewayParts;
+  /** Id of this start of the instance. */
   readonly incarnation: Incarnation;
+  /** Configuration in force here. */
   readonly configuration = new ConfigurationState();
+  /** Other instances, as known from heartbeats and the store. */
   readonly membership: Membership;
+  /** Store, guarded by a circuit breaker and a call budget. */
   readonly store: GuardedStore;
+  /** Budget of store calls. */
   readonly budget: StoreBudget;
+  /** Journal of non-idempotent runs. */
   readonly journal: ShardedJournal;
+  /** Limits of teams. */
   readonly limits: TeamLimits;
+  /** Borrows parts of team limits from other instances. */
   readonly borrower = new LimitBorrower(this);
+  /** Credits granted to other regions. */
   readonly ledger = new CreditLedger();
+  /** Budget of retries. */
   readonly retries = new RetryBudget();
+  /** Quarantine of calls that crash servers. */
   readonly quarantine: CallQuarantine;
   readonly #crashGossip: CrashGossip;
+  /** Usage of teams since the start of this instance. */
   readonly usage = new UsageMeter();
-  /** How far the placements of the region are, where this daemon holds its lease. */
+  /** Returns the progress of the region's placements, if this instance holds their lease. */
   readPlacements: () => readonly PlacementStatus[] = () => [];
+  /** Keeps the configuration up to date. */
   readonly controller: ConfigurationController;
   readonly #pools = new Map<string, ServicePool>();
   readonly #purses = new Map<string, CreditPurse>();
@@ -123,17 +138,17 @@
     this.#routes = createRoutes(this);
   }
 
-  /** Requests that are being served. */
+  /** Number of requests being served. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether callers may be directed to this instance. */
   get isReady(): boolean {
     return this.configuration.isLoaded && !this.membership.isLeaving;
   }
 
-  /** The pools of services that this daemon knows. */
+  /** Pools of the services that this instance knows. */
   get pools(): ReadonlyMap<string, ServicePool> {
     return this.#pools;
   }
@@ -141,10 +156,10 @@
   /**
    * Starts the controllers.
    *
-   * @param signal Ends them.
+   * @param signal Stops them when it aborts.
    */
   start(signal: AbortSignal): void {
-    // Each controller listens to it, and each of their timers.
+    // Each controller and each of its timers adds a listener to the signal.
     setMaxListeners(0, signal);
     startControllers(this, signal);
     this.controller.start(signal);
@@ -153,22 +168,23 @@
   /**
    * Serves one request.
    *
-   * @param request As it came in.
-   * @returns What to send back; refusals are replies, too.
+   * @param request Received request.
+   * @returns Reply to send; a refusal is a reply too.
    */
   async handle(request: GatewayRequest): Promise<Reply> {
     const origin = this.#readOrigin(request);
     const isPeer = origin.kind === "peer";
-    const kept = isPeer ? request : withoutForwardHeaders(request);
-    const exchange = this.#createExchange(kept, origin);
+    const sanitized = isPeer ? request : removeForwardHeaders(request);
+    const exchange = this.#createExchange(sanitized, origin);
     return await this.#serve(exchange, (each) => this.#routes.handle(each));
   }
 
   /**
    * Serves one item of a batch.
    *
-   * @param name Team that has submitted the batch.
-   * @param request Its call.
+   * @param name Name of the team that submitted the batch.
+   * @param request Call of the item.
+   * @returns Reply to store; a refusal is a reply too.
    */
   async handleForTeam(
     name: string,
@@ -184,16 +200,16 @@
         return err(createFailure("FORBIDDEN", `No team "${name}" exists`));
       }
       each.team = team;
-      return await this.#routes.handleItem(each);
+      return await this.#routes.handleBatchItem(each);
     });
   }
 
-  /** Whether an `authorization` header holds the token of daemons. */
+  /** Returns whether an `authorization` header contains the token that instances share. */
   isPeerToken(header: string | undefined): boolean {
     return this.#routes.isPeerToken(header);
   }
 
-  /** Handles a call of a peer. */
+  /** Handles a JSON-RPC call of a peer. */
   async handlePeerCall<Method extends PeerMethod>(
     method: Method,
     params: PeerMethods[Method]["params"],
@@ -201,15 +217,16 @@
     return await this.#handlers[method](params);
   }
 
-  /** Returns what the heartbeats of one tick tell of calls under which servers ended. */
-  takeEnds(): (isFar: boolean) => readonly ReportedEnds[] {
+  /** Returns the crash reports for the heartbeats of one tick, by whether they go to another region. */
+  takeEnds(): (isRemote: boolean) => readonly ReportedEnds[] {
     const nowMs = this.parts.clock.nowMs();
     this.#crashGossip.gatherOwn(nowMs);
-    const near = this.#crashGossip.takeForReport("near", nowMs);
-    return (isFar) => isFar ? this.#crashGossip.listForAnswer(nowMs) : near;
+    const localReports = this.#crashGossip.takeForReport("near", nowMs);
+    return (isRemote) =>
+      isRemote ? this.#crashGossip.listForAnswer(nowMs) : localReports;
   }
 
-  /** Takes a heartbeat. */
+  /** Applies a heartbeat of a peer, and sends the answers. */
   receiveHeartbeat(heartbeat: Heartbeat): void {
     const { ends = [] } = heartbeat;
     this.#crashGossip.mergeReports(ends, this.parts.clock.nowMs(), ["near"]);
@@ -223,10 +240,10 @@
   }
 
   /**
-   * Leaves: tells peers at once, refuses new requests with a list of other
-   * entries, and resolves when nothing is in flight.
+   * Shuts down gracefully: reports this to peers at once, refuses new requests with a list
+   * of other entries, and resolves when no request is in flight.
    *
-   * @param signal Gives up waiting.
+   * @param signal Ends the wait when it aborts.
    */
   async leave(signal: AbortSignal): Promise<void> {
     this.membership.markLeaving();
@@ -236,13 +253,13 @@
     await new Promise<void>((resolve) => {
       const check = () => {
         if (this.#inFlight === 0 || signal.aborted) return resolve();
-        this.parts.clock.schedule(DRAIN_CHECK_MS, check);
+        this.parts.clock.schedule(DRAIN_CHECK_INTERVAL_MS, check);
       };
       check();
     });
   }
 
-  /** Returns the pool of a service in the own region. */
+  /** Returns the pool of a service in the own region, and creates it at the first use. */
   readPool(service: string): ServicePool {
     const known = this.#pools.get(service);
     if (known !== undefined) return known;
@@ -250,23 +267,23 @@
     const pool = new ServicePool({
       clock,
       random,
-      readDeciders: () => this.#readDeciders(service),
+      readDeciders: () => this.#countSenders(service),
       readWeights: () => this.#readWeights(service),
       policies: this.parts.policies,
-    }, { maxLength: QUEUE_LENGTH });
+    }, { maxLength: MAX_QUEUE_LENGTH });
     this.#pools.set(service, pool);
     pool.applyServers(this.#pickServers(service));
     return pool;
   }
 
-  /** Runs changes of the configuration one after the other, so that own ones do not race. */
+  /** Runs changes of the configuration one after the other, so that those made here don't race. */
   runInTurn<T>(run: () => Promise<T>): Promise<T> {
-    const turn = this.#lastChange.then(run);
-    this.#lastChange = turn.catch(() => {});
-    return turn;
+    const change = this.#lastChange.then(run);
+    this.#lastChange = change.catch(() => {});
+    return change;
   }
 
-  /** Takes the servers in force into all pools, after a change of them or of the members. */
+  /** Applies the current servers to all pools, after a change of servers or members. */
   refreshPools(): void {
     this.#pools.forEach((pool, service) => {
       pool.applyServers(this.#pickServers(service));
@@ -274,7 +291,7 @@
     });
   }
 
-  /** Returns the credits that other regions granted for a service. */
+  /** Returns the credits that other regions have granted for a service. */
   readPurse(service: string): CreditPurse {
     const known = this.#purses.get(service);
     if (known !== undefined) return known;
@@ -283,10 +300,10 @@
     return purse;
   }
 
-  /** Records what a request used. */
+  /** Records the tokens that a request has used. */
   recordUsage(exchange: Exchange, tokens: number): void {
     const { team, origin } = exchange;
-    // The entry counts a forwarded request, so that it is counted once.
+    // A forwarded request is counted only by the instance that its caller sent it to.
     if (team !== undefined && origin.kind === "caller") {
       this.usage.record(team.id, tokens);
     }
@@ -375,7 +392,7 @@
     );
   }
 
-  /** The servers that this daemon uses: all, or its part of a large pool. */
+  /** Returns the servers that this instance uses: all, or its subset of a large pool. */
   #pickServers(service: string): readonly BackendServer[] {
     const { self } = this.parts;
     const all =
@@ -393,8 +410,8 @@
     return all.filter(({ id }) => picked.has(id));
   }
 
-  /** Daemons that send work to an engine: those of the region, as far as they share subsets. */
-  #readDeciders(service: string): number {
+  /** Estimates how many instances of the region send to the same engine, given their subsets. */
+  #countSenders(service: string): number {
     const live = Math.max(1, this.membership.liveIds.length);
     const { region } = this.parts.self;
     const all = this.configuration.view.backends.get(toPoolKey(service, region))
@@ -408,7 +425,7 @@
     return { ...spec.weights, firstTokenMs: spec.firstTokenMs };
   }
 
-  /** A team's limit is held by a few instances; the others borrow from them. */
+  /** Returns this instance's base share of a team's limit: a few instances hold it, and the others borrow from them. */
   #readBaseShare(team: TeamId): number {
     const holders = this.readLimitHolders(team);
     return holders.includes(this.parts.self.id) ? 1 / holders.length : 0;
@@ -420,7 +437,7 @@
       this.parts.self.id,
       ...this.membership.listed.map(({ id }) => id),
     ];
-    return rankNames(`limit ${team}`, ids).slice(0, LIMIT_HOLDERS);
+    return rankNames(`limit ${team}`, ids).slice(0, LIMIT_HOLDER_COUNT);
   }
 
   #createJournal(): ShardedJournal {
@@ -459,7 +476,7 @@
     });
   }
 
-  /** A holder is gone when its instance is known to have started again. */
+  /** Returns whether the instance of a holder is known to have restarted since. */
   isGone(holder: Incarnation): boolean {
     const [id, startedText] = holder.split(":");
     const started = Number(startedText);
@@ -474,7 +491,7 @@
 
 type Handle = (exchange: Exchange) => Promise<Result<Reply, Failure>>;
 
-/** An exchange, with the way to end its timers. */
+/** Exchange with a function that ends its timers. */
 interface LiveExchange extends Exchange {
   readonly end: () => void;
 }
@@ -483,16 +500,16 @@
   ConstructorParameters<typeof ServicePool>[0]["readWeights"]
 >;
 
-/** Instances that started so shortly before this one started together with it. */
+/** Instances that started at most this long before this one count as started together with it, in milliseconds. */
 const JOIN_MARGIN_MS = 10_000;
-/** Servers of a pool that one daemon uses, where there are more. */
+/** Maximum number of servers of a pool that one instance uses. */
 const SUBSET_SIZE = 64;
-/** Instances that hold base shares of a team's limit. */
-const LIMIT_HOLDERS = 9;
-/** Incarnations also grow by refuted rumours, by one each. */
+/** Number of instances that hold base shares of a team's limit. */
+const LIMIT_HOLDER_COUNT = 9;
+/** Margin below which a higher incarnation is no restart, in milliseconds: each refuted report of a failure adds 1 as well. */
 const RESTART_MARGIN_MS = 1_000;
 
-function withoutForwardHeaders(request: GatewayRequest): GatewayRequest {
+function removeForwardHeaders(request: GatewayRequest): GatewayRequest {
   const kept = Object.entries(request.headers).filter(([name]) =>
     !name.startsWith("x-forwarded-") && name !== "x-attempt-id"
   );
--- a/daemon/mod.ts
+++ b/daemon/mod.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon, put together from filters, controllers and ports.
+ * Gateway of one instance, composed of filters, controllers and ports.
  *
  * @example
  * ```ts
--- a/daemon/peer_handlers.ts
+++ b/daemon/peer_handlers.ts
@@ -2,9 +2,9 @@
 import type { Gateway } from "./gateway.ts";
 
 /**
- * Returns what a daemon does when a peer calls.
+ * Creates the handlers of JSON-RPC calls from peers.
  *
- * @param gateway The daemon.
+ * @param gateway Gateway of the instance.
  */
 export function createPeerHandlers(gateway: Gateway): PeerHandlers {
   const { clock } = gateway.parts;
@@ -30,13 +30,13 @@
       return gateway.limits.lend(wish, limit, clock.nowMs());
     },
     "credits.grant": ({ from, service, wanted }) => {
-      const room = {
+      const capacity = {
         spare: gateway.readPool(service).estimateSpare(),
         gateways: gateway.membership.liveIds.length,
       };
       return gateway.ledger.grant(
         { to: from, service, wanted },
-        room,
+        capacity,
         clock.nowMs(),
       );
     },
--- a/daemon/routes.ts
+++ b/daemon/routes.ts
@@ -25,32 +25,36 @@
 import { createFailure, type Failure } from "../results/mod.ts";
 import type { Gateway } from "./gateway.ts";
 
-/** The paths of a daemon. */
+/** Routes of an instance, each with its chain of filters. */
 export interface Routes {
-  /** Runs the chain of a path. */
+  /** Runs the filter chain of a request's path. */
   handle(exchange: Exchange): Promise<Result<Reply, Failure>>;
-  /** Runs an item of a batch, whose team is known. */
-  handleItem(exchange: Exchange): Promise<Result<Reply, Failure>>;
-  /** Whether an `authorization` header holds the token of daemons. */
+  /** Runs the filter chain of a batch item, whose team is known. */
+  handleBatchItem(exchange: Exchange): Promise<Result<Reply, Failure>>;
+  /** Returns whether an `authorization` header contains the token that instances share. */
   isPeerToken(header: string | undefined): boolean;
 }
 
+/** Path of a plain service, with its name and the rest of the path. */
 const SERVICE_PATH = /^\/services\/([^/]+)\/(.*)$/;
-const CREDITS_WANTED = 8;
-const ASK_INTERVAL_MS = 100;
-const DEFAULT_LINK_MS = 60;
+/** Number of credits requested from a region at a time. */
+const CREDITS_PER_REQUEST = 8;
+/** Minimum interval between requests for credits of one region and service, in milliseconds. */
+const CREDIT_REQUEST_INTERVAL_MS = 100;
+/** Assumed round trip time to a region before the first measurement, in milliseconds. */
+const DEFAULT_ROUND_TRIP_MS = 60;
 
 /**
- * Returns the paths of a daemon, each with its chain of filters.
+ * Creates the routes of an instance.
  *
- * @param gateway The daemon.
+ * @param gateway Gateway of the instance.
  */
 export function createRoutes(gateway: Gateway): Routes {
   const router = createRouter({
     ignoreTrailingSlash: true,
     maxParamLength: 300,
   });
-  const on = (
+  const addRoute = (
     method: HTTPMethod | HTTPMethod[],
     path: string,
     filter: Filter,
@@ -65,7 +69,7 @@
     configuration,
     operatorTokenHash: options.operatorTokenHash,
   });
-  const caller = createOriginFilter(gateway, identify);
+  const identifyOrigin = createOriginFilter(gateway, identify);
   const serve = [
     createCheckResidency({ configuration, region: self.region }),
     createJournalRun({
@@ -82,63 +86,67 @@
     limits: gateway.limits,
     borrow: (team) => gateway.borrower.borrowFor(team),
   });
-  const refuseEarly = createRefuseNotReady(gateway);
-  const model = composeFilters([
-    refuseEarly,
-    caller,
+  const refuseIfNotReady = createRefuseIfNotReady(gateway);
+  const modelChain = composeFilters([
+    refuseIfNotReady,
+    identifyOrigin,
     limits,
     createParseModelCall({ configuration, clock }),
     ...serve,
   ]);
-  const plain = composeFilters([
-    refuseEarly,
-    caller,
+  const plainChain = composeFilters([
+    refuseIfNotReady,
+    identifyOrigin,
     limits,
     createParsePlainCall({ configuration, clock }),
     ...serve,
   ]);
-  const modelItem = composeFilters([
+  const modelItemChain = composeFilters([
     createParseModelCall({ configuration, clock }),
     ...serve,
   ]);
-  const plainItem = composeFilters([
+  const plainItemChain = composeFilters([
     createParsePlainCall({ configuration, clock }),
     ...serve,
   ]);
-  on("POST", "/v1/chat/completions", model);
-  on("POST", "/v1/completions", model);
-  on(
+  addRoute("POST", "/v1/chat/completions", modelChain);
+  addRoute("POST", "/v1/completions", modelChain);
+  addRoute(
     ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"],
     "/services/:name/*",
-    plain,
+    plainChain,
   );
-  on(
+  addRoute(
     "GET",
     "/v1/models",
     composeFilters([identify, createListModels(gateway)]),
   );
-  on(
+  addRoute(
     "GET",
     "/v1/entries",
     composeFilters([identify, createListEntries(gateway)]),
   );
-  on(
+  addRoute(
     "GET",
     "/healthz",
     () => Promise.resolve(ok(createJsonReply(200, { status: "ok" }))),
   );
-  on("GET", "/readyz", createReadReadiness(gateway));
+  addRoute("GET", "/readyz", createReadReadiness(gateway));
   BATCH_HANDLERS.forEach(({ method, path, handler }) =>
-    on(method, path, composeFilters([refuseEarly, identify, handler(gateway)]))
+    addRoute(
+      method,
+      path,
+      composeFilters([refuseIfNotReady, identify, handler(gateway)]),
+    )
   );
   RESOURCE_HANDLERS.forEach(({ method, path, handler }) =>
-    on(
+    addRoute(
       method,
       path,
       composeFilters([identifyOperator, toFilter(gateway, handler)]),
     )
   );
-  const peerHash = hashHeader(`Bearer ${options.peerToken}`);
+  const peerTokenHash = hashHeader(`Bearer ${options.peerToken}`);
   return {
     handle: async (exchange) => {
       const { method, path } = exchange.request;
@@ -153,19 +161,23 @@
       }
       const filter = found.store as Filter;
       const params = found.params;
-      return await filter(Object.assign(exchange, { params }), refuseUnended);
+      return await filter(
+        Object.assign(exchange, { params }),
+        failUnhandled,
+      );
     },
-    handleItem: async (exchange) => {
+    handleBatchItem: async (exchange) => {
       const match = SERVICE_PATH.exec(exchange.request.path);
-      if (match === null) return await modelItem(exchange, refuseUnended);
+      if (match === null) return await modelItemChain(exchange, failUnhandled);
       const params = { "name": match[1], "*": match[2] };
-      return await plainItem(
+      return await plainItemChain(
         Object.assign(exchange, { params }),
-        refuseUnended,
+        failUnhandled,
       );
     },
     isPeerToken: (header) =>
-      header !== undefined && timingSafeEqual(hashHeader(header), peerHash),
+      header !== undefined &&
+      timingSafeEqual(hashHeader(header), peerTokenHash),
   };
 }
 
@@ -173,11 +185,16 @@
   return createHash("sha256").update(header).digest();
 }
 
-function refuseUnended(): never {
-  throw new Error("Cannot go on: the chain has no end");
+function failUnhandled(): never {
+  throw new Error(
+    "Want a reply from the last filter of the chain, got a call of next()",
+  );
 }
 
-/** A request from a peer carries the team that the entry has identified. */
+/**
+ * Creates a filter that identifies the team of a request. For a request from a peer this is
+ * the team that the peer has identified, named in a header.
+ */
 function createOriginFilter(gateway: Gateway, identify: Filter): Filter {
   return async (exchange, next) => {
     if (exchange.origin.kind === "caller") {
@@ -195,7 +212,7 @@
   };
 }
 
-function createRefuseNotReady(gateway: Gateway): Filter {
+function createRefuseIfNotReady(gateway: Gateway): Filter {
   return async (exchange, next) => {
     if (gateway.membership.isLeaving) {
       const nowMs = gateway.parts.clock.nowMs();
@@ -265,20 +282,22 @@
 ): Parameters<typeof createRouteCall>[0] {
   const { backend, clock, metrics, options, peers, random, self } =
     gateway.parts;
-  const linkMs = new Map<RegionId, number>();
-  const askedMs = new Map<string, number>();
-  const askCredits = async (region: RegionId, service: string) => {
+  const roundTripMs = new Map<RegionId, number>();
+  const requestedMs = new Map<string, number>();
+  const requestCredits = async (region: RegionId, service: string) => {
     const key = `${region}/${service}`;
     const nowMs = clock.nowMs();
-    if (nowMs - (askedMs.get(key) ?? -Infinity) < ASK_INTERVAL_MS) return;
-    askedMs.set(key, nowMs);
+    if (
+      nowMs - (requestedMs.get(key) ?? -Infinity) < CREDIT_REQUEST_INTERVAL_MS
+    ) return;
+    requestedMs.set(key, nowMs);
     const gateways = gateway.membership.readGateways(region, nowMs);
     const record = gateways[Math.floor(random.nextFloat() * gateways.length)];
     if (record === undefined) return;
-    const params = { from: self.id, service, wanted: CREDITS_WANTED };
+    const params = { from: self.id, service, wanted: CREDITS_PER_REQUEST };
     const grant = await peers.call(record, "credits.grant", params);
     if (grant.isErr()) return;
-    linkMs.set(region, clock.nowMs() - nowMs);
+    roundTripMs.set(region, clock.nowMs() - nowMs);
     const purse: CreditPurse = gateway.readPurse(service);
     purse.record(grant.value, { region, gateway: record.id, askedMs: nowMs });
   };
@@ -298,8 +317,8 @@
     readPool: (service) => gateway.readPool(service),
     readPurse: (service) => gateway.readPurse(service),
     recordUsage: (exchange, tokens) => gateway.recordUsage(exchange, tokens),
-    askCredits: (region, service) => void askCredits(region, service),
-    readLinkMs: (region) => linkMs.get(region) ?? DEFAULT_LINK_MS,
+    askCredits: (region, service) => void requestCredits(region, service),
+    readLinkMs: (region) => roundTripMs.get(region) ?? DEFAULT_ROUND_TRIP_MS,
     recordRoute: (exchange, route) =>
       metrics.count("route.count", 1, {
         service: exchange.call?.service ?? "",
--- a/daemon/spread_configuration.ts
+++ b/daemon/spread_configuration.ts
@@ -3,9 +3,10 @@
 import type { ConfigurationEntry } from "../resources/mod.ts";
 import type { Gateway } from "./gateway.ts";
 
-const PULL_TRIES = 3;
+/** Maximum number of local peers asked for entries, and half the maximum of all peers. */
+const MAX_LOCAL_PULLS = 3;
 
-/** Tells the peers of the own region of entries, once each. */
+/** Pushes entries once to each peer of the own region that has not reported them yet. */
 export function pushToRegion(
   gateway: Gateway,
   entries: readonly ConfigurationEntry[],
@@ -13,32 +14,39 @@
   const newest = entries.at(-1)?.sequence ?? 0;
   gateway.membership.members
     .filter(({ status }) => status === "live" || status === "suspect")
-    // Who has reported it needs no push; nor is one relayed that came from there.
+    // A peer that has reported the newest entry, or sent it here, needs no push.
     .filter(({ configuration }) => configuration < newest)
     .forEach(({ record }) =>
       void gateway.parts.peers.call(record, "configuration.push", { entries })
     );
 }
 
-/** Asks peers for what comes after a sequence number, the most advanced first. */
+/**
+ * Pulls the entries after a sequence number from peers, the most advanced of the own region
+ * first.
+ *
+ * @returns First useful answer, or `undefined` if no peer had one.
+ */
 export async function pullFromPeers(
   gateway: Gateway,
   after: number,
 ): Promise<CatchUp | undefined> {
   const { membership, parts } = gateway;
-  const near = membership.members
+  const localPeers = membership.members
     .filter(({ status }) => status !== "dead" && status !== "leaving")
     .toSorted((a, b) => b.configuration - a.configuration)
     .map(({ record }) => record);
-  const far = membership.listed.filter(({ region }) =>
+  const remotePeers = membership.listed.filter(({ region }) =>
     region !== parts.self.region
   );
-  const start = Math.floor(parts.random.nextFloat() * Math.max(1, far.length));
+  const start = Math.floor(
+    parts.random.nextFloat() * Math.max(1, remotePeers.length),
+  );
   const order: readonly InstanceRecord[] = [
-    ...near.slice(0, PULL_TRIES),
-    ...far.slice(start),
-    ...far.slice(0, start),
-  ].slice(0, 2 * PULL_TRIES);
+    ...localPeers.slice(0, MAX_LOCAL_PULLS),
+    ...remotePeers.slice(start),
+    ...remotePeers.slice(0, start),
+  ].slice(0, 2 * MAX_LOCAL_PULLS);
   for (const record of order) {
     const answer = await parts.peers.call(record, "configuration.pull", {
       after,
--- a/daemon/start_controllers.ts
+++ b/daemon/start_controllers.ts
@@ -18,17 +18,17 @@
 const USAGE_INTERVAL_MS = 10_000;
 
 /**
- * Starts the controllers of a daemon.
+ * Starts the controllers of an instance, each at its own interval.
  *
- * @param gateway The daemon.
- * @param signal Ends them.
+ * @param gateway Gateway of the instance.
+ * @param signal Stops them when it aborts.
  */
 export function startControllers(gateway: Gateway, signal: AbortSignal): void {
   const { clock } = gateway.parts;
   const watchInstances = createWatchInstances(gateway);
   const placement = createPlaceVersions(gateway);
   gateway.readPlacements = placement.readStatuses;
-  const series: readonly (readonly [number, () => void | Promise<void>])[] = [
+  const jobs: readonly (readonly [number, () => void | Promise<void>])[] = [
     [INSTANCES_INTERVAL_MS, watchInstances],
     [HEARTBEAT_INTERVAL_MS, createSendHeartbeats(gateway)],
     [ENGINES_INTERVAL_MS, createObserveEngines(gateway, signal)],
@@ -39,7 +39,7 @@
     [USAGE_INTERVAL_MS, createChargeUsage(gateway)],
   ];
   void watchInstances();
-  series.forEach(([intervalMs, run]) =>
+  jobs.forEach(([intervalMs, run]) =>
     scheduleEvery(clock, intervalMs, run, signal)
   );
 }
