--- a/daemon/departure.ts
+++ b/daemon/departure.ts
@@ -83,7 +83,7 @@
     do {
       await this.#waitAndRead(0);
     } while (countOpen() > 0 && clock.nowMs() < computeCloseMs(this.#times));
-    logger.info("shutdown finished", {
+    logger.info("left", {
       cutOff: countOpen(),
       afterMs: Math.round(clock.nowMs() - startMs),
     });
