--- a/routing/credits.ts
+++ b/routing/credits.ts
@@ -1,45 +1,48 @@
 import type { InstanceId, RegionId } from "../ids/mod.ts";
 
-/** A grant of one gateway to one gateway of another region. */
+/** A grant of credits from one instance to an instance of another region. */
 export interface CreditGrant {
   readonly service: string;
-  /** Requests that may be forwarded. */
+  /** Number of requests that may be forwarded. */
   readonly count: number;
-  /** How long, from when it was asked for, in milliseconds. */
+  /** Validity, counted from when the grant was requested, in milliseconds. */
   readonly lifetimeMs: number;
 }
 
-/** How long a grant holds. */
+/** How long a grant is valid, in milliseconds. */
 export const CREDIT_LIFETIME_MS = 2_000;
-const SHARE_OF_ROOM = 0.5;
+/** Fraction of the region's free capacity that may be granted to other regions. */
+const GRANTABLE_FRACTION = 0.5;
+/** Duration of the ramp, and the fraction of the usual grants at its start. */
 const RAMP_MS = 10_000;
-const RAMP_FLOOR = 0.1;
+const MIN_RAMP_FRACTION = 0.1;
 
-interface Outstanding {
+interface OutstandingGrant {
   readonly to: InstanceId;
-  left: number;
+  remaining: number;
   readonly expiresMs: number;
 }
 
 /**
- * The granting side: what a gateway has promised to gateways of other regions.
- * The sum of what is out never passes its share of the region's free room.
+ * Tracks the credits that this instance has granted to instances of other regions.
+ * The sum of the outstanding credits never exceeds this instance's share of the
+ * region's free capacity.
  */
 export class CreditLedger {
-  readonly #outstanding = new Map<string, Outstanding[]>();
-  #recoveredMs = -RAMP_MS;
+  readonly #outstanding = new Map<string, OutstandingGrant[]>();
+  #rampStartMs = -RAMP_MS;
 
-  /** Starts a ramp: after an outage or on cold caches little is granted at first. */
+  /** Starts a ramp: after an outage or with cold caches, few credits are granted at first. */
   startRamp(nowMs: number): void {
-    this.#recoveredMs = nowMs;
+    this.#rampStartMs = nowMs;
   }
 
   /**
-   * Grants up to the number asked for.
+   * Grants at most the requested number of credits.
    *
-   * @param request Who asks for how much of what.
-   * @param room Free room of the region, and gateways that share it.
-   * @param nowMs Time now.
+   * @param request Requesting instance, service and requested number of credits.
+   * @param capacity Free sequences of the region, and number of instances that share them.
+   * @param nowMs Current time, in milliseconds.
    */
   grant(
     request: {
@@ -47,25 +50,28 @@
       readonly service: string;
       readonly wanted: number;
     },
-    room: { readonly spare: number; readonly gateways: number },
+    capacity: { readonly spare: number; readonly gateways: number },
     nowMs: number,
   ): CreditGrant {
     const ramp = Math.min(
       1,
-      Math.max(RAMP_FLOOR, (nowMs - this.#recoveredMs) / RAMP_MS),
+      Math.max(MIN_RAMP_FRACTION, (nowMs - this.#rampStartMs) / RAMP_MS),
+    );
+    const share = (Math.max(0, capacity.spare) * GRANTABLE_FRACTION * ramp) /
+      Math.max(1, capacity.gateways);
+    const grants = this.#listValid(request.service, nowMs);
+    const outstandingCount = grants.reduce(
+      (sum, { remaining }) => sum + remaining,
+      0,
     );
-    const share = (Math.max(0, room.spare) * SHARE_OF_ROOM * ramp) /
-      Math.max(1, room.gateways);
-    const held = this.#read(request.service, nowMs);
-    const out = held.reduce((sum, { left }) => sum + left, 0);
     const count = Math.max(
       0,
-      Math.min(request.wanted, Math.floor(share - out)),
+      Math.min(request.wanted, Math.floor(share - outstandingCount)),
     );
     if (count > 0) {
-      held.push({
+      grants.push({
         to: request.to,
-        left: count,
+        remaining: count,
         expiresMs: nowMs + CREDIT_LIFETIME_MS,
       });
     }
@@ -73,42 +79,42 @@
   }
 
   /**
-   * Takes one credit for a forwarded request.
+   * Uses up one credit for a forwarded request.
    *
-   * @param from Who forwards.
-   * @param service Which service.
-   * @param nowMs Time now.
-   * @returns Whether there was one.
+   * @param from Instance that forwards the request.
+   * @param service Requested service.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Whether the instance had a valid credit.
    */
   admit(from: InstanceId, service: string, nowMs: number): boolean {
-    const held = this.#read(service, nowMs).find(({ to, left }) =>
-      to === from && left > 0
-    );
-    if (held === undefined) return false;
-    held.left--;
+    const grant = this.#listValid(service, nowMs).find((
+      { to, remaining },
+    ) => to === from && remaining > 0);
+    if (grant === undefined) return false;
+    grant.remaining--;
     return true;
   }
 
-  #read(service: string, nowMs: number): Outstanding[] {
-    const held = (this.#outstanding.get(service) ?? [])
-      .filter(({ left, expiresMs }) => left > 0 && expiresMs > nowMs);
-    this.#outstanding.set(service, held);
-    return held;
+  #listValid(service: string, nowMs: number): OutstandingGrant[] {
+    const grants = (this.#outstanding.get(service) ?? [])
+      .filter(({ remaining, expiresMs }) => remaining > 0 && expiresMs > nowMs);
+    this.#outstanding.set(service, grants);
+    return grants;
   }
 }
 
-interface Held {
+interface ReceivedGrant {
   readonly region: RegionId;
-  readonly gateway: InstanceId;
-  left: number;
+  readonly instance: InstanceId;
+  remaining: number;
   readonly expiresMs: number;
 }
 
-/** The asking side: credits that gateways of other regions granted. */
+/** Holds the credits that instances of other regions have granted to this instance. */
 export class CreditPurse {
-  #held: Held[] = [];
+  #grants: ReceivedGrant[] = [];
 
-  /** Records a grant, on the clock of the asker. */
+  /** Records a grant; its lifetime is measured on the clock of this instance. */
   record(
     grant: CreditGrant,
     from: {
@@ -118,29 +124,31 @@
     },
   ): void {
     if (grant.count <= 0) return;
-    this.#held.push({
+    this.#grants.push({
       region: from.region,
-      gateway: from.gateway,
-      left: grant.count,
-      // Half of the lifetime is left for the way there.
+      instance: from.gateway,
+      remaining: grant.count,
+      // Half of the lifetime is reserved for forwarding a request there.
       expiresMs: from.askedMs + grant.lifetimeMs / 2,
     });
   }
 
-  /** Returns the credits left for a region. */
+  /** Returns the number of unspent, valid credits for a region. */
   count(region: RegionId, nowMs: number): number {
-    this.#held = this.#held.filter(({ left, expiresMs }) =>
-      left > 0 && expiresMs > nowMs
+    this.#grants = this.#grants.filter(({ remaining, expiresMs }) =>
+      remaining > 0 && expiresMs > nowMs
     );
-    return this.#held.filter((held) => held.region === region)
-      .reduce((sum, { left }) => sum + left, 0);
+    return this.#grants.filter((grant) => grant.region === region)
+      .reduce((sum, { remaining }) => sum + remaining, 0);
   }
 
-  /** Spends one credit and returns the gateway that granted it. */
+  /** Spends one credit and returns the instance that granted it, if there is a credit. */
   take(region: RegionId, nowMs: number): InstanceId | undefined {
     if (this.count(region, nowMs) === 0) return undefined;
-    const held = this.#held.find((candidate) => candidate.region === region)!;
-    held.left--;
-    return held.gateway;
+    const grant = this.#grants.find((candidate) =>
+      candidate.region === region
+    )!;
+    grant.remaining--;
+    return grant.instance;
   }
 }
--- a/routing/engine_health.ts
+++ b/routing/engine_health.ts
@@ -1,52 +1,59 @@
-/** Health of one backend server, as this daemon sees it. */
+/** Health of one backend server, as observed by this instance. */
 export interface EngineHealth {
-  /** Failures in a row. */
+  /** Number of consecutive failures. */
   readonly failures: number;
-  /** Ejected until then, in milliseconds; 0: not ejected. */
+  /** Time until which the server is ejected, in milliseconds; 0 if it is not ejected. */
   readonly ejectedUntilMs: number;
-  /** Ejections in a row. */
+  /** Number of consecutive ejections. */
   readonly ejections: number;
-  /** Refused its last connection; not tried until then, unless it answers a poll. */
+  /**
+   * Time until which a server that refused its last connection is not tried, in
+   * milliseconds; 0 if it is reachable. An answered poll resets it.
+   */
   readonly unreachableUntilMs: number;
-  /** When it came back; its slow start counts from then. 0: it was never away. */
-  readonly returnedMs: number;
+  /**
+   * Time from which the slow start counts, in milliseconds: the end of the last
+   * ejection, or the first poll answered after the server was unreachable. 0 if the
+   * server was never ejected or unreachable.
+   */
+  readonly slowStartMs: number;
 }
 
-/** What its health learns from. */
+/** Events that change a server's health. */
 export type HealthEvent =
   | { readonly kind: "succeeded" }
   | { readonly kind: "failed" }
-  /** No connection came about: the server itself is away. */
+  /** No connection could be established: the server itself is unreachable. */
   | { readonly kind: "unreachable" }
-  /** It answered a poll. */
+  /** The server answered a poll. */
   | { readonly kind: "polled" };
 
-/** Failures in a row that eject a server. */
+/** Number of consecutive failures after which a server is ejected. */
 export const FAILURES_TO_EJECT = 3;
 const FIRST_EJECTION_MS = 2_000;
-const LONGEST_EJECTION_MS = 30_000;
-const SLOW_START_MS = 8_000;
-/** How long a server that refuses connections is left out, if polls do not say otherwise. */
-const UNREACHABLE_MS = 3_000;
-const SLOW_START_FLOOR = 0.1;
-/** Share of a pool that is never ejected: beyond it the failure is a common one. */
-export const HEALTHY_FLOOR = 0.5;
+const MAX_EJECTION_MS = 30_000;
+const SLOW_START_DURATION_MS = 8_000;
+/** How long a server that refuses connections is left out, unless it answers a poll earlier. */
+const UNREACHABLE_PAUSE_MS = 3_000;
+const MIN_SLOW_START_SHARE = 0.1;
+/** Minimum fraction of healthy servers; below it the failure has a common cause. */
+export const MIN_HEALTHY_FRACTION = 0.5;
 
-/** Health before the first call. */
-export const UNTRIED: EngineHealth = {
+/** Health of a server before its first call. */
+export const INITIAL_HEALTH: EngineHealth = {
   failures: 0,
   ejectedUntilMs: 0,
   ejections: 0,
   unreachableUntilMs: 0,
-  returnedMs: 0,
+  slowStartMs: 0,
 };
 
 /**
- * Returns the health after an event.
+ * Returns the health of a server after an event.
  *
- * @param health Before.
- * @param event What happened.
- * @param nowMs Time now.
+ * @param health Health before the event.
+ * @param event Event to apply.
+ * @param nowMs Current time, in milliseconds.
  */
 export function applyHealthEvent(
   health: EngineHealth,
@@ -59,18 +66,23 @@
     case "failed":
       return recordFailure(health, nowMs);
     case "unreachable":
-      return { ...health, unreachableUntilMs: nowMs + UNREACHABLE_MS };
+      return { ...health, unreachableUntilMs: nowMs + UNREACHABLE_PAUSE_MS };
     case "polled": {
       if (health.unreachableUntilMs === 0) return health;
-      // It was away: its share grows again from the floor.
+      // The server was unreachable: its share grows again from the minimum.
       const ejections = Math.max(1, health.ejections);
-      return { ...health, unreachableUntilMs: 0, ejections, returnedMs: nowMs };
+      return {
+        ...health,
+        unreachableUntilMs: 0,
+        ejections,
+        slowStartMs: nowMs,
+      };
     }
   }
 }
 
 function recordSuccess(health: EngineHealth, nowMs: number): EngineHealth {
-  const isPastSlowStart = nowMs - health.returnedMs > SLOW_START_MS;
+  const isPastSlowStart = nowMs - health.slowStartMs > SLOW_START_DURATION_MS;
   return {
     ...health,
     failures: 0,
@@ -82,45 +94,49 @@
 
 function recordFailure(health: EngineHealth, nowMs: number): EngineHealth {
   const failures = health.failures + 1;
-  const hasReturned = health.ejections > 0 && nowMs >= health.ejectedUntilMs;
-  if (failures < FAILURES_TO_EJECT && !hasReturned) {
+  const isAfterEjection = health.ejections > 0 &&
+    nowMs >= health.ejectedUntilMs;
+  if (failures < FAILURES_TO_EJECT && !isAfterEjection) {
     return { ...health, failures };
   }
-  const pauseMs = Math.min(
-    LONGEST_EJECTION_MS,
+  const ejectionMs = Math.min(
+    MAX_EJECTION_MS,
     FIRST_EJECTION_MS * 2 ** health.ejections,
   );
   return {
     ...health,
     failures,
-    ejectedUntilMs: nowMs + pauseMs,
+    ejectedUntilMs: nowMs + ejectionMs,
     ejections: health.ejections + 1,
-    returnedMs: nowMs + pauseMs,
+    slowStartMs: nowMs + ejectionMs,
   };
 }
 
-/** Whether a server is ejected or unreachable now. */
+/** Returns whether a server is ejected or unreachable at `nowMs`. */
 export function isEjected(health: EngineHealth, nowMs: number): boolean {
   return nowMs < Math.max(health.ejectedUntilMs, health.unreachableUntilMs);
 }
 
 /**
- * Returns the share of its slots that a server gets, from 0.1 to 1: it grows
- * over the slow start after an ejection.
+ * Returns the share of a server's slots that may be used, from 0.1 to 1. It grows
+ * during the slow start after an ejection.
  */
-export function computeStartShare(health: EngineHealth, nowMs: number): number {
+export function computeSlowStartShare(
+  health: EngineHealth,
+  nowMs: number,
+): number {
   if (health.ejections === 0) return 1;
-  const share = (nowMs - health.returnedMs) / SLOW_START_MS;
-  return Math.min(1, Math.max(SLOW_START_FLOOR, share));
+  const share = (nowMs - health.slowStartMs) / SLOW_START_DURATION_MS;
+  return Math.min(1, Math.max(MIN_SLOW_START_SHARE, share));
 }
 
 /**
- * Returns the servers that may be used. Those that refuse connections are left
- * out while any other is there. Of the others, if more than half are ejected,
- * the failure is not theirs, and all are used.
+ * Returns the servers that may be used. Servers that refuse connections are left
+ * out while any other server is reachable. If more than half of the remaining ones
+ * are ejected, the cause is not the servers themselves, and all of them are used.
  *
  * @param servers All candidates.
- * @param nowMs Time now.
+ * @param nowMs Current time, in milliseconds.
  */
 export function pickHealthy<T extends { readonly health: EngineHealth }>(
   servers: readonly T[],
@@ -131,7 +147,7 @@
   );
   const candidates = reachable.length > 0 ? reachable : servers;
   const healthy = candidates.filter(({ health }) => !isEjected(health, nowMs));
-  return healthy.length >= candidates.length * HEALTHY_FLOOR
+  return healthy.length >= candidates.length * MIN_HEALTHY_FRACTION
     ? healthy
     : candidates;
 }
--- a/routing/engine_model.ts
+++ b/routing/engine_model.ts
@@ -3,85 +3,93 @@
 import type { BackendServer } from "../resources/mod.ts";
 import {
   applyHealthEvent,
-  computeStartShare,
+  computeSlowStartShare,
   type EngineHealth,
   type HealthEvent,
-  UNTRIED,
+  INITIAL_HEALTH,
 } from "./engine_health.ts";
 import { PrefixHints } from "./prefix_hints.ts";
 
-/** The work of one call, as far as routing needs it. */
+/** Estimated work of one call, as far as routing needs it. */
 export interface CallSize {
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Hash of the prefix or session that may be cached. */
+  /** Hash of the prompt prefix or session that an engine may have cached. */
   readonly prefix: string | undefined;
-  /** Tokens of that prefix. */
+  /** Number of tokens in the prefix. */
   readonly prefixTokens: number;
-  /** Whether it gives way to all other work in an engine's queue. Default: `false`. */
+  /**
+   * Whether the call has lower priority than all other work in an engine's queue.
+   * Default: `false`.
+   */
   readonly isBatch?: boolean;
 }
 
-interface InFlight {
+interface InFlightCall {
   readonly dispatchedMs: number;
   readonly size: CallSize;
-  /** Prompt tokens that were not expected in the cache. */
-  readonly coldTokens: number;
+  /** Prompt tokens that were not expected to be in the cache. */
+  readonly uncachedTokens: number;
   readonly isBatch: boolean;
   hasFirstToken: boolean;
 }
 
-/** Prior speeds, until an engine's own are learned. */
+/** Prefill speed and decode time assumed until those of an engine have been learned. */
 const PRIOR_PREFILL_TOKENS_PER_MS = 8;
-const PRIOR_DECODE_MS = 25;
+const PRIOR_DECODE_MS_PER_TOKEN = 25;
 const LEARNING_RATE = 0.15;
 const SPEED_BOUNDS = [0.05, 20] as const;
-const STALE_REPORT_MS = 15_000;
-/** Floor of a wait, so that ratios of short times teach nothing. */
-const LEARNING_FLOOR_MS = 4;
+const MAX_REPORT_AGE_MS = 15_000;
+/** Shorter prefill times are ignored, since a speed computed from them is unreliable. */
+const MIN_PREFILL_SAMPLE_MS = 4;
 
 /**
- * What one daemon knows of one engine: its last report and its age, own
- * dispatches since, speeds learned from own calls, cache hints and health.
+ * State of one engine as known to this instance: the last load report and its age,
+ * this instance's dispatches since that report, speeds learned from its own calls,
+ * cache hints and health.
  */
 export class EngineModel {
   readonly hints = new PrefixHints();
   server: BackendServer;
-  health: EngineHealth = UNTRIED;
-  /** Decode time of a token, learned, in milliseconds. */
-  decodeMs = PRIOR_DECODE_MS;
-  /** Prefill speed, learned, in tokens a millisecond. */
+  health: EngineHealth = INITIAL_HEALTH;
+  /** Learned decode time per token, in milliseconds. */
+  decodeMs = PRIOR_DECODE_MS_PER_TOKEN;
+  /** Learned prefill speed, in tokens per millisecond. */
   prefillTokensPerMs = PRIOR_PREFILL_TOKENS_PER_MS;
   #report: EngineLoad = { running: 0, queued: 0, queuedTokens: 0, lagMs: 0 };
-  /** Time that the report speaks of. */
+  /** Time at which the reported load was measured, in milliseconds. */
   #reportMs = 0;
-  readonly #inFlight = new Map<AttemptId, InFlight>();
-  #recent: { readonly dispatchedMs: number; readonly tokens: number }[] = [];
+  readonly #inFlight = new Map<AttemptId, InFlightCall>();
+  /** This instance's dispatches since the last report. */
+  #newDispatches: {
+    readonly dispatchedMs: number;
+    readonly tokens: number;
+  }[] = [];
 
-  /** @param server The engine. */
+  /** @param server Declared settings of the engine. */
   constructor(server: BackendServer) {
     this.server = server;
   }
 
-  /** Own calls in flight. */
+  /** Number of this instance's calls in flight. */
   get ownInFlight(): number {
     return this.#inFlight.size;
   }
 
-  /** Own calls of batches in flight. */
-  get ownBatch(): number {
+  /** Number of this instance's batch calls in flight. */
+  get ownBatchInFlight(): number {
     let count = 0;
     for (const { isBatch } of this.#inFlight.values()) if (isBatch) count++;
     return count;
   }
 
-  /** Takes a load report; an older one than the last is dropped. */
+  /** Applies a load report, unless it is older than the last one. */
   applyReport(load: EngineLoad, nowMs: number): void {
     const reportMs = nowMs - load.lagMs;
     if (reportMs <= this.#reportMs) return;
     this.#report = load;
     this.#reportMs = reportMs;
-    this.#recent = this.#recent.filter(({ dispatchedMs }) =>
+    this.#newDispatches = this.#newDispatches.filter(({ dispatchedMs }) =>
       dispatchedMs > reportMs
     );
   }
@@ -91,23 +99,26 @@
     return nowMs - this.#reportMs;
   }
 
-  /** Records that the engine has answered a poll. */
+  /** Records the load with which the engine answered a poll. */
   recordPoll(load: EngineLoad, nowMs: number): void {
     this.health = applyHealthEvent(this.health, { kind: "polled" }, nowMs);
     this.applyReport(load, nowMs);
   }
 
-  /** Records a dispatch. */
+  /** Records that a call was dispatched to the engine. */
   recordDispatch(attempt: AttemptId, size: CallSize, nowMs: number): void {
-    const coldTokens = this.#computeColdTokens(size, nowMs);
+    const uncachedTokens = this.#computeUncachedTokens(size, nowMs);
     this.#inFlight.set(attempt, {
       dispatchedMs: nowMs,
       size,
-      coldTokens,
+      uncachedTokens,
       isBatch: size.isBatch === true,
       hasFirstToken: false,
     });
-    this.#recent.push({ dispatchedMs: nowMs, tokens: coldTokens });
+    this.#newDispatches.push({
+      dispatchedMs: nowMs,
+      tokens: uncachedTokens,
+    });
     if (size.prefix !== undefined) {
       this.hints.record(size.prefix, {
         tokens: size.prefixTokens,
@@ -116,16 +127,20 @@
     }
   }
 
-  /** Records the first token, and learns the prefill speed from it. */
+  /** Records the first token of a call and updates the learned prefill speed. */
   recordFirstToken(attempt: AttemptId, nowMs: number): void {
     const call = this.#inFlight.get(attempt);
     if (call === undefined || call.hasFirstToken) return;
     call.hasFirstToken = true;
-    const tookMs = nowMs - call.dispatchedMs - this.decodeMs;
-    const isAlone = this.#inFlight.size <= Math.max(1, this.server.slots / 2);
-    if (!isAlone || tookMs < LEARNING_FLOOR_MS || call.coldTokens < 16) return;
-    const speed = call.coldTokens / tookMs;
-    this.prefillTokensPerMs = learn(
+    const prefillMs = nowMs - call.dispatchedMs - this.decodeMs;
+    const isLightlyLoaded =
+      this.#inFlight.size <= Math.max(1, this.server.slots / 2);
+    if (
+      !isLightlyLoaded || prefillMs < MIN_PREFILL_SAMPLE_MS ||
+      call.uncachedTokens < 16
+    ) return;
+    const speed = call.uncachedTokens / prefillMs;
+    this.prefillTokensPerMs = updateAverage(
       this.prefillTokensPerMs,
       speed,
       SPEED_BOUNDS,
@@ -133,11 +148,11 @@
   }
 
   /**
-   * Records the end of a call, and learns the decode speed from it.
+   * Records the end of a call and updates the learned decode time.
    *
-   * @param attempt Which call.
-   * @param end Whether it succeeded, its tokens and the time of the first one.
-   * @param nowMs Time now.
+   * @param attempt Attempt that ended.
+   * @param end Health event of the call, if any, and its decode time per token in milliseconds.
+   * @param nowMs Current time, in milliseconds.
    */
   recordEnd(
     attempt: AttemptId,
@@ -148,95 +163,108 @@
     if (end.event !== undefined) {
       this.health = applyHealthEvent(this.health, end.event, nowMs);
     }
-    // An engine that failed may have lost its cache; one that is away has.
+    // An engine that failed may have lost its cache; an unreachable one has.
     if (end.event !== undefined && end.event.kind !== "succeeded") {
       this.hints.clear();
     }
     if (end.tokenMs !== undefined) {
-      this.decodeMs = learn(this.decodeMs, end.tokenMs, [1, 1_000]);
+      this.decodeMs = updateAverage(this.decodeMs, end.tokenMs, [1, 1_000]);
     }
   }
 
   /**
-   * Estimates the sequences at the engine now: those of the report, own ones
-   * since, and as many for each other daemon as this one has sent.
+   * Estimates the number of sequences that run or wait at the engine: those of the
+   * last report, those that this instance has dispatched since, and the same number
+   * for each other instance that dispatches to the engine.
    *
-   * @param deciders Daemons that send work to this engine.
-   * @param nowMs Time now.
+   * @param dispatcherCount Number of instances that dispatch to this engine.
+   * @param nowMs Current time, in milliseconds.
    */
-  estimateInSystem(deciders: number, nowMs: number): number {
+  estimateInSystem(dispatcherCount: number, nowMs: number): number {
     const own = this.#inFlight.size;
-    const isStale = nowMs - this.#reportMs > STALE_REPORT_MS;
-    if (isStale) return own * Math.max(1, deciders);
-    const since = this.#countRecent();
+    const isStale = nowMs - this.#reportMs > MAX_REPORT_AGE_MS;
+    if (isStale) return own * Math.max(1, dispatcherCount);
+    const dispatched = this.#sumNewDispatches();
     const reported = this.#report.running + this.#report.queued;
-    return Math.max(own, reported + since.count * Math.max(1, deciders));
+    return Math.max(
+      own,
+      reported + dispatched.count * Math.max(1, dispatcherCount),
+    );
   }
 
   /**
    * Estimates the time to the first token of a call, in milliseconds.
    *
-   * @param size Its work.
-   * @param deciders Daemons that send work to this engine.
-   * @param nowMs Time now.
+   * @param size Estimated work of the call.
+   * @param dispatcherCount Number of instances that dispatch to this engine.
+   * @param nowMs Current time, in milliseconds.
    */
   estimateFirstTokenMs(
     size: CallSize,
-    deciders: number,
+    dispatcherCount: number,
     nowMs: number,
   ): number {
     const slots = Math.max(
       1,
-      this.server.slots * computeStartShare(this.health, nowMs),
+      this.server.slots * computeSlowStartShare(this.health, nowMs),
     );
-    const inSystem = this.estimateInSystem(deciders, nowMs);
-    const since = this.#countRecent();
+    const inSystem = this.estimateInSystem(dispatcherCount, nowMs);
+    const dispatched = this.#sumNewDispatches();
     const pendingTokens = Math.min(
-      this.#report.queuedTokens + since.tokens * Math.max(1, deciders),
+      this.#report.queuedTokens +
+        dispatched.tokens * Math.max(1, dispatcherCount),
       inSystem * 8_192,
     );
-    const coldTokens = this.#computeColdTokens(size, nowMs);
-    const prefillMs = (coldTokens + pendingTokens) / this.prefillTokensPerMs;
+    const uncachedTokens = this.#computeUncachedTokens(size, nowMs);
+    const prefillMs = (uncachedTokens + pendingTokens) /
+      this.prefillTokensPerMs;
     const serviceMs = this.decodeMs * Math.max(16, size.outputTokens);
     const isFull = inSystem >= slots;
     const waitMs = isFull ? ((inSystem - slots + 1) / slots) * serviceMs : 0;
-    const crowdMs = this.decodeMs * (inSystem / slots);
-    return waitMs + prefillMs + crowdMs;
+    const sharedDecodeMs = this.decodeMs * (inSystem / slots);
+    return waitMs + prefillMs + sharedDecodeMs;
   }
 
-  /** Estimates the prefill of a call on this engine, which also holds up all it decodes. */
+  /**
+   * Estimates the prefill time of a call on this engine, in milliseconds. During a
+   * prefill the engine's decoding is delayed.
+   */
   estimatePrefillMs(size: CallSize, nowMs: number): number {
-    return this.#computeColdTokens(size, nowMs) / this.prefillTokensPerMs;
+    return this.#computeUncachedTokens(size, nowMs) / this.prefillTokensPerMs;
   }
 
   /**
-   * Estimates how many more calls the engine takes before they wait.
+   * Estimates how many more calls the engine can run without queueing them; negative
+   * if it has more calls than slots.
    *
-   * @param deciders Daemons that send work to this engine.
-   * @param nowMs Time now.
+   * @param dispatcherCount Number of instances that dispatch to this engine.
+   * @param nowMs Current time, in milliseconds.
    */
-  estimateRoom(deciders: number, nowMs: number): number {
-    const slots = this.server.slots * computeStartShare(this.health, nowMs);
-    return slots - this.estimateInSystem(deciders, nowMs);
+  estimateFreeSlots(dispatcherCount: number, nowMs: number): number {
+    const slots = this.server.slots * computeSlowStartShare(this.health, nowMs);
+    return slots - this.estimateInSystem(dispatcherCount, nowMs);
   }
 
-  #computeColdTokens(size: CallSize, nowMs: number): number {
+  #computeUncachedTokens(size: CallSize, nowMs: number): number {
     const cached = this.hints.readTokens(size.prefix, nowMs);
     return Math.max(1, size.promptTokens - Math.min(cached, size.prefixTokens));
   }
 
-  #countRecent(): { readonly count: number; readonly tokens: number } {
+  #sumNewDispatches(): {
+    readonly count: number;
+    readonly tokens: number;
+  } {
     let tokens = 0;
-    for (const dispatch of this.#recent) tokens += dispatch.tokens;
-    return { count: this.#recent.length, tokens };
+    for (const dispatch of this.#newDispatches) tokens += dispatch.tokens;
+    return { count: this.#newDispatches.length, tokens };
   }
 }
 
-function learn(
-  known: number,
-  seen: number,
+function updateAverage(
+  average: number,
+  sample: number,
   bounds: readonly [number, number],
 ): number {
-  const bounded = Math.min(bounds[1], Math.max(bounds[0], seen));
-  return known + LEARNING_RATE * (bounded - known);
+  const bounded = Math.min(bounds[1], Math.max(bounds[0], sample));
+  return average + LEARNING_RATE * (bounded - average);
 }
--- a/routing/mod.ts
+++ b/routing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which engine, and which region. Pure decisions over what one daemon knows.
+ * Chooses the region and the engine that serve a call, from what one instance knows.
  *
  * @example
  * ```ts
--- a/routing/pick_engine.ts
+++ b/routing/pick_engine.ts
@@ -3,56 +3,61 @@
 import { pickHealthy } from "./engine_health.ts";
 import type { CallSize, EngineModel } from "./engine_model.ts";
 
-/** What a choice weighs. */
+/** Weights and target of a choice between engines. */
 export interface PickWeights {
   /** Weight of the time to the first token. */
   readonly latency: number;
-  /** Weight of the price. */
+  /** Weight of the cost. */
   readonly cost: number;
-  /** Aim for the first token, in milliseconds. */
+  /** Target for the time to the first token, in milliseconds. */
   readonly firstTokenMs: number;
 }
 
-/** What a choice is made from. */
+/** Input of {@linkcode pickEngine}. */
 export interface PickRequest {
   readonly engines: readonly EngineModel[];
   readonly size: CallSize;
   readonly weights: PickWeights;
-  /** Daemons that send work to the same engines. */
+  /** Number of instances that dispatch to the same engines. */
   readonly deciders: number;
   readonly nowMs: number;
   readonly random: Random;
-  /** Engines that were tried for this request. Default: none. */
+  /** Ids of engines that were already tried for this call. Default: none. */
   readonly excluded?: ReadonlySet<string>;
 }
 
-/** Up to so many engines are all compared; of more, a sample. */
-export const COMPARE_ALL = 12;
-/** Engines drawn at random from a larger pool. */
+/** Maximum size of a pool in which all engines are compared; larger pools are sampled. */
+export const MAX_FULL_COMPARISON = 12;
+/** Number of engines drawn at random from a larger pool. */
 export const SAMPLE_SIZE = 6;
+/** Number of engines of a larger pool that are assigned to a prefix by its hash. */
 const AFFINITY_CANDIDATES = 2;
-/** Puts a price of 1 for a fifth of a second of an engine on a par with the aim. */
+/**
+ * Scales the cost so that a fifth of a second of an engine at price 1 weighs as much
+ * as the target.
+ */
 const COST_SCALE = 0.3;
-/** Part of the decode time that counts beside the first token. */
+/** Fraction of the decode time that is added to the time to the first token. */
 const DECODE_WEIGHT = 0.3;
-/** How much prefill counts again, for the calls that it holds up. */
+/** Additional weight of the prefill time, since a prefill delays the engine's other calls. */
 const PREFILL_WEIGHT = 10;
 
 /**
- * Picks the engine with the lowest score: estimated time to the first token
- * over the aim, plus price. Of a large pool it compares a random sample and the
- * two that a prefix is placed on; a sample instead of the whole pool keeps many
- * daemons with the same lagging reports from all picking the same engine
+ * Picks the engine with the lowest score: the estimated time to the first token
+ * relative to its target, plus the weighted cost. In a large pool, the candidates
+ * are a random sample and the two engines that are assigned to the prefix. Sampling
+ * keeps many instances with the same delayed reports from all picking the same engine
  * (Mitzenmacher, "The power of two choices in randomized load balancing", 2001).
  *
- * @param request Candidates, call and weights.
- * @returns `undefined` when no engine may be used.
+ * @param request Engines, call and weights.
+ * @returns The picked engine, or `undefined` when no engine may be used.
  */
 export function pickEngine(request: PickRequest): EngineModel | undefined {
   const candidates = pickCandidates(request);
   let best: EngineModel | undefined;
   let bestScore = Infinity;
-  // A loop in place of array methods: see "decision" in docs/design/routing.md.
+  // A loop is used instead of array methods because each call runs it; see "Decision
+  // time" in docs/design/routing.md.
   for (const engine of candidates) {
     const score = computeScore(engine, request);
     if (score < bestScore) {
@@ -84,26 +89,28 @@
 }
 
 /**
- * Price of the part of an engine's time that a call takes: its prefill, and its
- * part of the steps, which it shares with the sequences that run beside it.
+ * Returns the price of the engine time that a call uses: its prefill, and its part
+ * of the decode steps, which it shares with the concurrent sequences.
  */
 function estimateCost(engine: EngineModel, request: PickRequest): number {
   const { deciders, nowMs, size } = request;
   const { pricePerSecond } = engine.server;
-  const sharing = engine.estimateInSystem(deciders, nowMs) + 1;
-  const decodeMs = engine.decodeMs * size.outputTokens / sharing;
+  const sequences = engine.estimateInSystem(deciders, nowMs) + 1;
+  const decodeMs = engine.decodeMs * size.outputTokens / sequences;
   return pricePerSecond * (engine.estimatePrefillMs(size, nowMs) + decodeMs) /
     1_000;
 }
 
 function pickCandidates(request: PickRequest): readonly EngineModel[] {
   const { engines, excluded, nowMs, random, size } = request;
-  if (engines.length > COMPARE_ALL) {
+  if (engines.length > MAX_FULL_COMPARISON) {
     const sampled = pickSample(engines, random);
-    const placed = size.prefix === undefined
+    const byPrefix = size.prefix === undefined
       ? []
-      : pickPlaced(engines, size.prefix);
-    const usable = pickHealthy([...sampled, ...placed], nowMs).filter(isUsable);
+      : pickByPrefix(engines, size.prefix);
+    const usable = pickHealthy([...sampled, ...byPrefix], nowMs).filter(
+      isUsable,
+    );
     if (usable.length > 0) return usable;
   }
   const usable = engines.filter(isUsable);
@@ -124,8 +131,11 @@
   );
 }
 
-/** Two positions from the hash of the prefix alone: no scan of the pool. */
-function pickPlaced(
+/**
+ * Returns the engines at two positions computed from the prefix's hash alone, without
+ * a pool scan.
+ */
+function pickByPrefix(
   engines: readonly EngineModel[],
   prefix: string,
 ): EngineModel[] {
--- a/routing/pick_subset.ts
+++ b/routing/pick_subset.ts
@@ -2,14 +2,13 @@
 import { rankNames } from "../membership/mod.ts";
 
 /**
- * Returns the engines that one daemon of a region uses. Each daemon takes a
- * run of equal length on the same shuffled ring, starting at its own position,
- * so that every engine is in about the same number of subsets.
+ * Returns the engines that one instance of a region uses. Each instance takes a
+ * range of equal length on the same shuffled ring, starting at its own position, so
+ * that each engine is in about the same number of subsets.
  *
  * @param engines Names of all engines of the region.
- * @param daemons Names of all live daemons of the region, with the own one.
- * @param self Own name.
- * @param size Wanted size of the subset.
+ * @param options Names of all live instances of the region including this one, name
+ * of this instance, and minimum size of the subset.
  */
 export function pickSubset<Name extends string>(
   engines: readonly Name[],
@@ -37,13 +36,13 @@
   );
 }
 
-/** Returns the daemons that poll an engine's load for the others. */
+/** Returns the `count` instances that poll an engine's load on behalf of the others. */
 export function pickObservers(
   engine: string,
-  daemons: readonly string[],
+  instances: readonly string[],
   count: number,
 ): readonly string[] {
-  return [...daemons]
+  return [...instances]
     .sort((a, b) => computeWeight(engine, b) - computeWeight(engine, a))
     .slice(0, count);
 }
--- a/routing/routing_test.ts
+++ b/routing/routing_test.ts
@@ -9,7 +9,11 @@
 } from "../ids/mod.ts";
 import { CreditLedger, CreditPurse } from "./credits.ts";
 import { decideRegion } from "./decide_region.ts";
-import { applyHealthEvent, pickHealthy, UNTRIED } from "./engine_health.ts";
+import {
+  applyHealthEvent,
+  INITIAL_HEALTH,
+  pickHealthy,
+} from "./engine_health.ts";
 import { EngineModel } from "./engine_model.ts";
 import { pickEngine } from "./pick_engine.ts";
 import { pickSubset } from "./pick_subset.ts";
@@ -57,12 +61,12 @@
 }
 
 describe("pickEngine()", () => {
-  it("picks none when all are leaving or tried", () => {
+  it("returns undefined when all engines are leaving or excluded", () => {
     assert.equal(pick([createEngine("a", { isLeaving: true })]), undefined);
     assert.equal(pick([createEngine("a")], WEIGHTS, new Set(["a"])), undefined);
   });
 
-  it("follows own dispatches between reports", () => {
+  it("counts dispatches that no report includes yet", () => {
     const [busy, idle] = [createEngine("busy"), createEngine("idle")];
     Array.from({ length: 6 }).forEach((_, at) =>
       busy.recordDispatch(toAttemptId(String(at)), {
@@ -73,7 +77,7 @@
     assert.equal(pick([busy, idle]), "idle");
   });
 
-  it("goes where the prefix is, while that engine has room", () => {
+  it("prefers the engine with the cached prefix when it is idle", () => {
     const [cold, warm] = [createEngine("cold"), createEngine("warm")];
     warm.recordDispatch(toAttemptId("1"), SIZE, 100);
     warm.recordEnd(toAttemptId("1"), { event: { kind: "succeeded" } }, 200);
@@ -81,7 +85,7 @@
     assert.equal(pick([cold, warm]), "warm");
   });
 
-  it("weighs the price where the service does", () => {
+  it("prefers the cheaper engine when the cost weight is high", () => {
     const engines = [
       createEngine("dear", { price: 5 }),
       createEngine("cheap", { price: 1 }),
@@ -89,7 +93,7 @@
     assert.equal(pick(engines, { ...WEIGHTS, latency: 0.1, cost: 3 }), "cheap");
   });
 
-  it("ignores a report that is older than the last", () => {
+  it("ignores a load report that is older than the last one", () => {
     const engine = createEngine("a");
     engine.applyReport(
       { running: 1, queued: 0, queuedTokens: 0, lagMs: 0 },
@@ -116,25 +120,28 @@
 });
 
 describe("pickHealthy()", () => {
-  const eject = (health = UNTRIED) =>
+  const createEjected = (health = INITIAL_HEALTH) =>
     [1, 2, 3].reduce(
       (known) => applyHealthEvent(known, { kind: "failed" }, 0),
       health,
     );
 
-  it("leaves out an outlier, and no one when most fail", () => {
-    const ok = { health: UNTRIED };
-    const bad = { health: eject() };
+  it("leaves out an ejected server, but none when most are ejected", () => {
+    const ok = { health: INITIAL_HEALTH };
+    const bad = { health: createEjected() };
     assert.deepEqual(pickHealthy([ok, ok, bad], 10), [ok, ok]);
     assert.equal(pickHealthy([ok, bad, bad], 10).length, 3);
   });
 
-  it("leaves out those that refuse connections, however many they are", () => {
-    const ok = { health: UNTRIED };
-    const away = {
-      health: applyHealthEvent(UNTRIED, { kind: "unreachable" }, 0),
+  it("leaves out unreachable servers even when they are the majority", () => {
+    const ok = { health: INITIAL_HEALTH };
+    const unreachable = {
+      health: applyHealthEvent(INITIAL_HEALTH, { kind: "unreachable" }, 0),
     };
-    assert.deepEqual(pickHealthy([ok, away, away, away], 10), [ok]);
+    assert.deepEqual(
+      pickHealthy([ok, unreachable, unreachable, unreachable], 10),
+      [ok],
+    );
   });
 });
 
@@ -155,11 +162,11 @@
     options: [option],
   };
 
-  it("stays while home is well inside its aim", () => {
+  it("stays in the home region while its estimate is far below the target", () => {
     assert.equal(decideRegion({ ...request, homeMs: 200 }).kind, "home");
   });
 
-  it("leaves with credit, asks without, and ignores old or full regions", () => {
+  it("needs credit for a remote region and ignores outdated or full ones", () => {
     assert.equal(decideRegion(request).kind, "away");
     const asks = decideRegion({
       ...request,
@@ -178,7 +185,7 @@
     assert.equal(full.kind, "home");
   });
 
-  it("returns later than it leaves", () => {
+  it("returns to the home region at a lower estimate than it leaves it", () => {
     const between = { ...request, homeMs: 250 };
     assert.equal(decideRegion(between).kind, "home");
     assert.equal(decideRegion({ ...between, wasAway: true }).kind, "away");
@@ -186,7 +193,7 @@
 });
 
 describe("CreditLedger", () => {
-  it("never has more out than its share of the room, whoever asks", () => {
+  it("limits all outstanding credits to its share of the free capacity", () => {
     const ledger = new CreditLedger();
     const counts = Array.from({ length: 21 }, (_, index) =>
       ledger.grant(
@@ -197,7 +204,7 @@
     assert.equal(counts.reduce((sum, count) => sum + count, 0), 10);
   });
 
-  it("takes each credit once, from whom it was granted to, while it holds", () => {
+  it("accepts each credit once, from its recipient, until it expires", () => {
     const ledger = new CreditLedger();
     const to = toInstanceId("i");
     ledger.grant(
@@ -216,7 +223,7 @@
     assert.equal(ledger.admit(to, "s", 110_000), false);
   });
 
-  it("grants little on a ramp", () => {
+  it("grants few credits at the start of a ramp", () => {
     const ledger = new CreditLedger();
     ledger.startRamp(100_000);
     const request = { to: toInstanceId("i"), service: "s", wanted: 100 };
@@ -228,7 +235,7 @@
 });
 
 describe("CreditPurse", () => {
-  it("spends what is left before it runs out", () => {
+  it("counts and spends a credit only until it expires", () => {
     const purse = new CreditPurse();
     const region = toRegionId("r");
     const from = { region, gateway: toInstanceId("g"), askedMs: 0 };
@@ -240,7 +247,7 @@
 });
 
 describe("pickSubset()", () => {
-  it("covers every engine about equally", () => {
+  it("uses each engine in about the same number of subsets", () => {
     const engines = Array.from({ length: 123 }, (_, index) => `e${index}`);
     const daemons = Array.from({ length: 15 }, (_, index) => `d${index}`);
     const counts = new Map(engines.map((engine) => [engine, 0]));
--- a/routing/service_pool.ts
+++ b/routing/service_pool.ts
@@ -10,65 +10,67 @@
 import { isEjected, pickHealthy } from "./engine_health.ts";
 import { pickEngine, type PickWeights } from "./pick_engine.ts";
 
-/** What a pool is created from. */
+/** Dependencies of a {@linkcode ServicePool}. */
 export interface ServicePoolParts {
   readonly clock: Clock;
   readonly random: Random;
-  /** Daemons that send work to the same engines. */
+  /** Returns the number of instances that dispatch to the same engines. */
   readonly readDeciders: () => number;
-  /** Weights of the service, read at each choice. */
+  /** Returns the weights of the service; called at each choice. */
   readonly readWeights: () => PickWeights;
-  /** Decisions of an experiment. Default: those of the product. */
+  /** Decisions that an experiment replaces. Default: none. */
   readonly policies?: PoolPolicies | undefined;
 }
 
 /** Decisions of a pool that an experiment can replace. */
 export interface PoolPolicies {
   readonly pickEngine?: typeof pickEngine;
-  /** Returns the busy sequences up to which batch work starts. */
-  readonly computeThreshold?: (servers: number) => number;
+  /** Returns the number of busy sequences below which batch work may start. */
+  readonly computeThreshold?: (slots: number) => number;
+  /** Whether all interactive and batch calls start at once, without queueing. */
   readonly admitsAll?: boolean;
 }
 
+/** Fraction of an engine's slots by which interactive calls may exceed them. */
 const INTERACTIVE_HEADROOM = 0.25;
-/** Daemons of a region that work on batches. */
+/** Number of instances of a region that work on batches. */
 export const BATCH_WORKERS = 3;
 
-/** The backend servers of one service in the own region, and their queue. */
+/** Backend servers of one service in this instance's region, and the queue of calls for them. */
 export class ServicePool {
   readonly queue: AdmissionQueue;
   readonly #parts: ServicePoolParts;
   readonly #models = new Map<string, EngineModel>();
-  #list: readonly EngineModel[] = [];
-  /** Calls that were let in and are not yet dispatched. */
+  #engines: readonly EngineModel[] = [];
   readonly #batchShare = new BatchShare();
-  readonly #starting = { batch: 0, other: 0 };
+  /** Number of calls that were admitted and are not yet dispatched. */
+  readonly #undispatched = { batch: 0, other: 0 };
 
   /**
-   * @param parts Clock, random source and weights.
-   * @param options Bounds of the queue.
+   * @param parts Clock, random source, weights and number of dispatching instances.
+   * @param options Limits of the queue.
    */
   constructor(parts: ServicePoolParts, options: AdmissionOptions = {}) {
     this.#parts = parts;
     this.queue = new AdmissionQueue({
       clock: parts.clock,
-      hasRoom: (priority) => this.hasRoom(priority),
+      hasRoom: (priority) => this.hasCapacity(priority),
       recordStart: (priority) =>
-        this.#starting[priority === "batch" ? "batch" : "other"]++,
+        this.#undispatched[priority === "batch" ? "batch" : "other"]++,
     }, options);
   }
 
-  /** The servers, as this daemon knows them. */
+  /** State of all servers, as known to this instance. */
   get engines(): readonly EngineModel[] {
-    return this.#list;
+    return this.#engines;
   }
 
-  /** Returns what is known of one server. */
+  /** Returns the state of one server. */
   readEngine(id: string): EngineModel | undefined {
     return this.#models.get(id);
   }
 
-  /** Takes the servers that are in force; what was learned of those that stay is kept. */
+  /** Replaces the servers; the learned state of those that stay is retained. */
   applyServers(servers: readonly BackendServer[]): void {
     const ids = new Set<string>(servers.map(({ id }) => id));
     [...this.#models.keys()].filter((id) => !ids.has(id)).forEach((id) =>
@@ -80,14 +82,14 @@
         this.#models.set(server.id, new EngineModel(server));
       } else known.server = server;
     });
-    this.#list = [...this.#models.values()];
+    this.#engines = [...this.#models.values()];
   }
 
-  /** Picks a server for a call. */
+  /** Picks a server for a call, other than the `excluded` ones. */
   pick(size: CallSize, excluded: ReadonlySet<string>): EngineModel | undefined {
     const pick = this.#parts.policies?.pickEngine ?? pickEngine;
     return pick({
-      engines: this.#list,
+      engines: this.#engines,
       size,
       weights: this.#parts.readWeights(),
       deciders: this.#parts.readDeciders(),
@@ -97,7 +99,10 @@
     });
   }
 
-  /** Estimates the time to the first token here; `undefined` when no server may be used. */
+  /**
+   * Estimates the time to the first token in this region, in milliseconds; returns
+   * `undefined` when no server may be used.
+   */
   estimateFirstTokenMs(size: CallSize): number | undefined {
     const nowMs = this.#parts.clock.nowMs();
     const engine = this.pick(size, new Set());
@@ -109,74 +114,80 @@
       engine.estimateFirstTokenMs(size, this.#parts.readDeciders(), nowMs);
   }
 
-  /** Estimates how long a call takes here from its start to its end, in milliseconds. */
+  /**
+   * Estimates the time from the dispatch of a call to its end on the fastest server,
+   * in milliseconds.
+   */
   estimateWorkMs(size: CallSize): number {
-    const works = this.#list.map(({ decodeMs, prefillTokensPerMs }) =>
+    const estimatesMs = this.#engines.map(({ decodeMs, prefillTokensPerMs }) =>
       decodeMs * size.outputTokens + size.promptTokens / prefillTokensPerMs
     );
-    return works.length === 0 ? 0 : Math.min(...works);
+    return estimatesMs.length === 0 ? 0 : Math.min(...estimatesMs);
   }
 
-  /** Estimates the free sequences over all servers. */
+  /** Estimates the number of free sequences on all servers, minus the queued calls. */
   estimateSpare(): number {
     const nowMs = this.#parts.clock.nowMs();
-    const deciders = this.#parts.readDeciders();
-    const room = this.#usable(nowMs)
-      .map((engine) => Math.max(0, engine.estimateRoom(deciders, nowMs)))
-      .reduce((sum, each) => sum + each, 0);
-    return Math.max(0, room - this.queue.length);
+    const dispatcherCount = this.#parts.readDeciders();
+    const freeSlots = this.#listUsable(nowMs)
+      .map((engine) =>
+        Math.max(0, engine.estimateFreeSlots(dispatcherCount, nowMs))
+      )
+      .reduce((sum, slots) => sum + slots, 0);
+    return Math.max(0, freeSlots - this.queue.length);
   }
 
-  /** Whether a request of a class may start now. */
-  hasRoom(priority: Priority): boolean {
+  /** Returns whether a call of a priority class may start now. */
+  hasCapacity(priority: Priority): boolean {
     const nowMs = this.#parts.clock.nowMs();
-    const deciders = this.#parts.readDeciders();
-    const usable = this.#usable(nowMs);
+    const dispatcherCount = this.#parts.readDeciders();
+    const usable = this.#listUsable(nowMs);
     if (usable.length === 0 || this.#parts.policies?.admitsAll) return true;
-    if (priority === "batch") return this.#hasBatchRoom(usable, nowMs);
-    // Engines serve by priority: batch work that waits there does not stand before others.
-    const room = usable.map((engine) =>
-      engine.estimateRoom(deciders, nowMs) + engine.ownBatch * deciders +
+    if (priority === "batch") return this.#hasBatchCapacity(usable, nowMs);
+    // Engines schedule by priority: their batch work does not delay interactive calls.
+    const freeSlots = usable.map((engine) =>
+      engine.estimateFreeSlots(dispatcherCount, nowMs) +
+      engine.ownBatchInFlight * dispatcherCount +
       engine.server.slots * INTERACTIVE_HEADROOM
-    ).reduce((sum, each) => sum + Math.max(0, each), 0);
-    return room - this.#starting.other >= 1;
+    ).reduce((sum, slots) => sum + Math.max(0, slots), 0);
+    return freeSlots - this.#undispatched.other >= 1;
   }
 
-  /** Records that a call that was let in has been dispatched, or given up. */
+  /** Records that an admitted call has been dispatched or given up. */
   recordDispatched(size: CallSize): void {
-    this.#starting[size.isBatch ? "batch" : "other"]--;
+    this.#undispatched[size.isBatch ? "batch" : "other"]--;
   }
 
   /** Records the time to the first token of an interactive call. */
   recordFirstToken(firstTokenMs: number): void {
-    const aimMs = this.#parts.readWeights().firstTokenMs;
-    this.#batchShare.record(firstTokenMs, aimMs, this.#parts.clock.nowMs());
+    const targetMs = this.#parts.readWeights().firstTokenMs;
+    this.#batchShare.record(firstTokenMs, targetMs, this.#parts.clock.nowMs());
   }
 
-  #usable(nowMs: number): readonly EngineModel[] {
+  #listUsable(nowMs: number): readonly EngineModel[] {
     return pickHealthy(
-      this.#list.filter(({ server }) => !server.isLeaving),
+      this.#engines.filter(({ server }) => !server.isLeaving),
       nowMs,
     );
   }
 
-  #hasBatchRoom(usable: readonly EngineModel[], nowMs: number): boolean {
-    const deciders = Math.max(1, this.#parts.readDeciders());
-    const servers = usable.reduce((sum, { server }) => sum + server.slots, 0);
+  #hasBatchCapacity(usable: readonly EngineModel[], nowMs: number): boolean {
+    const dispatcherCount = Math.max(1, this.#parts.readDeciders());
+    const slots = usable.reduce((sum, { server }) => sum + server.slots, 0);
     const busy = usable.reduce(
-      (sum, engine) => sum + engine.estimateInSystem(deciders, nowMs),
+      (sum, engine) => sum + engine.estimateInSystem(dispatcherCount, nowMs),
       0,
     );
-    const own = usable.reduce(
-      (sum, engine) => sum + engine.ownBatch,
-      this.#starting.batch,
+    const ownBatch = usable.reduce(
+      (sum, engine) => sum + engine.ownBatchInFlight,
+      this.#undispatched.batch,
     );
-    const compute = this.#parts.policies?.computeThreshold;
-    const threshold = compute?.(servers) ??
-      Math.floor(servers * this.#batchShare.share);
-    // Reports lag: without a bound on its own part each worker would fill the pool at once.
-    const isOwnPartFree =
-      own < Math.ceil(threshold / Math.min(deciders, BATCH_WORKERS));
-    return busy < threshold && isOwnPartFree;
+    const computeThreshold = this.#parts.policies?.computeThreshold;
+    const threshold = computeThreshold?.(slots) ??
+      Math.floor(slots * this.#batchShare.share);
+    // Reports are delayed: without a limit per instance, each one would fill the pool at once.
+    const isBelowInstanceLimit = ownBatch <
+      Math.ceil(threshold / Math.min(dispatcherCount, BATCH_WORKERS));
+    return busy < threshold && isBelowInstanceLimit;
   }
 }
