--- a/controllers/charge_usage.ts
+++ b/controllers/charge_usage.ts
@@ -5,7 +5,7 @@
 import type { GuardedStore } from "../store/mod.ts";
 import { foldUsage, UsageFlusher, type UsageMeter } from "../usage/mod.ts";
 
-/** What charging usage needs of a daemon. */
+/** Parts of an instance that {@linkcode createChargeUsage} uses. */
 export interface ChargeUsageGateway {
   readonly parts: Pick<GatewayParts, "clock" | "metrics" | "random" | "self">;
   readonly incarnation: Incarnation;
@@ -15,14 +15,14 @@
   readonly usage: UsageMeter;
 }
 
-/** Folding runs at every so many flushes. */
-const FOLD_EVERY = 6;
+/** Number of flushes after which usage is folded. */
+const FLUSHES_PER_FOLD = 6;
 
 /**
- * Returns the controller that writes what teams used here, and folds what gone
- * incarnations have left.
+ * Returns the controller that writes the usage of teams on this instance to the
+ * store, and folds the usage documents of dead incarnations into one.
  *
- * @param gateway The daemon.
+ * @param gateway Instance that the controller runs in.
  */
 export function createChargeUsage(
   gateway: ChargeUsageGateway,
@@ -35,33 +35,36 @@
     createChangeId,
   });
   let flushes = 0;
-  let written = "";
+  let writtenText = "";
   return async () => {
     const totals = gateway.usage.readTotals();
     const text = JSON.stringify(totals);
-    // A counter that did not move costs no write.
-    if (text !== written) {
+    // Unchanged counters are not written again.
+    if (text !== writtenText) {
       const flushed = await flusher.flush(totals, clock.nowMs());
       if (flushed.isErr()) metrics.count("usage.flush_failed");
-      else written = text;
+      else writtenText = text;
     }
     flushes++;
-    const isFolder =
+    const isFoldingInstance =
       rankNames("usage", gateway.membership.liveIds)[0] === self.id;
-    if (!isFolder || flushes % FOLD_EVERY !== 0) return;
+    if (!isFoldingInstance || flushes % FLUSHES_PER_FOLD !== 0) return;
     await foldUsage({
       store: gateway.store,
       createChangeId,
-      isGone: (incarnation) => isGone(gateway, incarnation),
+      isGone: (incarnation) => isDead(gateway, incarnation),
       nowMs: clock.nowMs(),
     });
   };
 }
 
-/** Need not be certain: a document that is folded too early is sealed first. */
-function isGone(gateway: ChargeUsageGateway, incarnation: string): boolean {
+/**
+ * Returns whether an incarnation is dead, as far as is known. A wrong answer is safe,
+ * since a document that is folded too early is sealed first.
+ */
+function isDead(gateway: ChargeUsageGateway, incarnation: string): boolean {
   const id = incarnation.slice(0, incarnation.lastIndexOf(":"));
-  const listed = [gateway.parts.self, ...gateway.membership.listed];
-  return listed.every((record) => record.id !== id) ||
+  const knownRecords = [gateway.parts.self, ...gateway.membership.listed];
+  return knownRecords.every((record) => record.id !== id) ||
     gateway.isGone(toIncarnation(incarnation));
 }
--- a/controllers/decide_placement.ts
+++ b/controllers/decide_placement.ts
@@ -1,59 +1,59 @@
 import type { PlacementStatus } from "../engine/mod.ts";
 import type { EngineState } from "../engine/mod.ts";
 
-/** What operators want of one service in one region. */
+/** Placement of one service in one region, as declared by operators. */
 export interface WantedPlacement {
   readonly service: string;
   readonly version: string;
   readonly replicas: number;
 }
 
-/** An engine as placement sees it. */
+/** State of an engine that placement decides on. */
 export interface PlacedEngine {
   readonly id: string;
   readonly service: string;
   readonly isLeaving: boolean;
-  /** What it reports; `undefined` if it does not answer. */
+  /** State that the engine reports; `undefined` if it does not answer. */
   readonly state: EngineState | undefined;
-  /** Not ordered again before then, after a failure. */
+  /** Time before which the engine gets no load order after a failed load, in milliseconds. */
   readonly retryAtMs: number;
 }
 
-/** An order to be sent. */
+/** An order to send to an engine. */
 export interface PlacementOrder {
   readonly engine: string;
   /** Version to load; `undefined` to unload. */
   readonly version: string | undefined;
 }
 
-/** What is decided. */
+/** Result of {@linkcode decidePlacement}. */
 export interface PlacementDecision {
   readonly orders: readonly PlacementOrder[];
   readonly statuses: readonly PlacementStatus[];
 }
 
-/** What a decision is made from. */
+/** Input of {@linkcode decidePlacement}. */
 export interface PlacementRequest {
   readonly wanted: readonly WantedPlacement[];
   readonly engines: readonly PlacedEngine[];
-  /** Loads that may run at once in the region, by the rate of the weight store. */
+  /** Maximum number of concurrent loads in the region, as allowed by the weight store's rate. */
   readonly maxLoads: number;
   readonly nowMs: number;
 }
 
 /**
- * Decides which engines load or unload what. It orders nothing where nothing
- * differs, spreads loads by the rate of the weight store, and never takes the
- * last engine that serves a service out of use for a load.
+ * Decides which engines load or unload which version. It gives no orders where the
+ * reported state equals the declared one, limits loads to the weight store's rate, and
+ * never takes the last engine that serves a service out of use for a load.
  *
- * @param request What is wanted and what is reported.
+ * @param request Declared placements and reported states.
  */
 export function decidePlacement(request: PlacementRequest): PlacementDecision {
   const loading =
     request.engines.filter(({ state }) => state?.loading !== undefined).length;
   let loadsLeft = Math.max(0, request.maxLoads - loading);
   const decisions = request.wanted.map((wanted) => {
-    const decision = decideService(wanted, request, loadsLeft);
+    const decision = decideServicePlacement(wanted, request, loadsLeft);
     loadsLeft -= decision.orders.filter(({ version }) =>
       version !== undefined
     ).length;
@@ -65,7 +65,7 @@
   };
 }
 
-function decideService(
+function decideServicePlacement(
   wanted: WantedPlacement,
   request: PlacementRequest,
   loadsLeft: number,
@@ -81,7 +81,7 @@
     state?.loading === wanted.version
   );
   const missing = wanted.replicas - serving.length - loading.length;
-  const candidates = engines.filter((engine) => isFree(engine, wanted.version))
+  const candidates = engines.filter((engine) => canLoad(engine, wanted.version))
     .toSorted(compareEmptyFirst);
   const ready = candidates.filter(({ retryAtMs }) =>
     retryAtMs <= request.nowMs
@@ -102,7 +102,7 @@
       wanted: wanted.replicas,
       serving: serving.length,
       loading: loading.length + loads.length,
-      reason: missing <= 0 ? "" : explain({
+      reason: missing <= 0 ? "" : explainMissing({
         missing,
         engines,
         candidates,
@@ -114,21 +114,24 @@
   };
 }
 
-/** Engines that serve an older version are taken only while another one goes on serving. */
+/**
+ * Returns the engines to load on. An engine that serves another version is picked
+ * only while another engine goes on serving.
+ */
 function pickLoads(
   ready: readonly PlacedEngine[],
   engines: readonly PlacedEngine[],
   count: number,
 ): readonly PlacedEngine[] {
-  const inUse =
+  const servingCount =
     engines.filter(({ state }) =>
       state?.version !== undefined && state.loading === undefined
     ).length;
-  let spareCopies = Math.max(0, inUse - 1);
+  let replaceableCount = Math.max(0, servingCount - 1);
   return ready.filter(({ state }) => {
     if (state?.version === undefined) return true;
-    spareCopies--;
-    return spareCopies >= 0;
+    replaceableCount--;
+    return replaceableCount >= 0;
   }).slice(0, count);
 }
 
@@ -136,7 +139,7 @@
   return state?.version === version && state.loading === undefined;
 }
 
-function isFree({ state }: PlacedEngine, version: string): boolean {
+function canLoad({ state }: PlacedEngine, version: string): boolean {
   return state !== undefined && state.loading === undefined &&
     state.version !== version;
 }
@@ -147,7 +150,7 @@
   return rank(a) - rank(b) || (a.id < b.id ? -1 : 1);
 }
 
-function explain(facts: {
+function explainMissing(facts: {
   readonly missing: number;
   readonly engines: readonly PlacedEngine[];
   readonly candidates: readonly PlacedEngine[];
@@ -155,19 +158,19 @@
   readonly loads: number;
   readonly loadsLeft: number;
 }): string {
-  const silent =
+  const unresponsive =
     facts.engines.filter(({ state }) => state === undefined).length;
-  const failed = facts.candidates.map(({ state }) => state?.failure).find((
+  const failure = facts.candidates.map(({ state }) => state?.failure).find((
     text,
   ) => text);
   if (facts.loads > 0) return `${facts.missing} to go: loading`;
   if (facts.candidates.length === 0) {
-    return silent > 0
-      ? `${silent} engines do not answer`
+    return unresponsive > 0
+      ? `${unresponsive} engines do not answer`
       : "there are no more engines";
   }
   if (facts.ready.length === 0) {
-    return `waiting after a failed load: ${failed ?? "unknown"}`;
+    return `waiting after a failed load: ${failure ?? "unknown"}`;
   }
   if (facts.loadsLeft <= 0) return "waiting for the rate of the weight store";
   return "waiting: the last serving engine is not taken out of use";
--- a/controllers/load_rate.ts
+++ b/controllers/load_rate.ts
@@ -1,32 +1,36 @@
-const BURST = 2;
+/** Capacity of the token bucket, in loads. */
+const BURST_LOADS = 2;
 
 /**
- * The part of the weight store's rate that one region may use: a token bucket
- * that holds two loads.
+ * Limits the loads of one region to its part of the weight store's rate, with a token
+ * bucket that holds two loads.
  */
-export class LoadRate {
-  #tokens = BURST;
-  #filledMs: number;
+export class LoadRateLimiter {
+  #tokens = BURST_LOADS;
+  #refilledMs: number;
 
-  /** @param nowMs Time of the first look. */
+  /** @param nowMs Current time, in milliseconds. */
   constructor(nowMs: number) {
-    this.#filledMs = nowMs;
+    this.#refilledMs = nowMs;
   }
 
   /**
-   * Returns how many loads may start now.
+   * Refills the bucket and returns how many loads may start now.
    *
-   * @param perMinute Part of the region, in loads a minute.
-   * @param nowMs Time now.
+   * @param perMinute The region's part of the rate, in loads per minute.
+   * @param nowMs Current time, in milliseconds.
    */
-  countFree(perMinute: number, nowMs: number): number {
-    const elapsedMinutes = Math.max(0, nowMs - this.#filledMs) / 60_000;
-    this.#filledMs = nowMs;
-    this.#tokens = Math.min(BURST, this.#tokens + elapsedMinutes * perMinute);
+  refillAndCount(perMinute: number, nowMs: number): number {
+    const elapsedMinutes = Math.max(0, nowMs - this.#refilledMs) / 60_000;
+    this.#refilledMs = nowMs;
+    this.#tokens = Math.min(
+      BURST_LOADS,
+      this.#tokens + elapsedMinutes * perMinute,
+    );
     return Math.floor(this.#tokens);
   }
 
-  /** Takes one load. */
+  /** Takes the token of one load. */
   take(): void {
     this.#tokens -= 1;
   }
--- a/controllers/mod.ts
+++ b/controllers/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The controllers of a daemon: each observes, decides and acts at an interval.
+ * Controllers of an instance: each one observes, decides and acts at an interval.
  *
  * @example
  * ```ts
--- a/controllers/observe_engines.ts
+++ b/controllers/observe_engines.ts
@@ -8,7 +8,7 @@
   type ServicePool,
 } from "../routing/mod.ts";
 
-/** What observing engines needs of a daemon. */
+/** Parts of an instance that {@linkcode createObserveEngines} uses. */
 export interface ObserveEnginesGateway {
   readonly parts: Pick<GatewayParts, "backend" | "clock" | "self">;
   readonly configuration: ConfigurationState;
@@ -17,28 +17,36 @@
   readPool(service: string): ServicePool;
 }
 
-/** Daemons that poll each engine of a large pool. */
+/** Number of instances that poll each engine of a large pool. */
 const OBSERVERS_PER_ENGINE = 2;
-/** Up to so many engines a daemon polls all of them, each second. */
-const POLL_ALL = 16;
-/** Every answer carries a report; in large pools only engines without one are polled. */
-const FRESH_MS = 900;
-/** Polls of one round where a pool is large: a poll is about half a kilobyte. */
-const MAX_POLLS_LARGE = 2;
+/** Maximum size of a pool whose engines are all polled each second; above it, a pool is large. */
+const MAX_FULL_POLL = 16;
+/**
+ * In large pools, engines whose last report is at most this old are not polled, since
+ * each answer carries a report.
+ */
+const MAX_FRESH_REPORT_AGE_MS = 900;
+/** Maximum number of polls per round in a large pool; a poll takes about half a kilobyte. */
+const MAX_POLLS_PER_ROUND = 2;
 const POLL_TIMEOUT_MS = 900;
 
-interface Observed {
+interface PooledEngine {
   readonly pool: ServicePool;
   readonly engine: EngineModel;
 }
 
-/** Returns the controller that polls the load of engines. */
+/**
+ * Returns the controller that polls the load of engines.
+ *
+ * @param gateway Instance that the controller runs in.
+ * @param signal Aborts polls in flight.
+ */
 export function createObserveEngines(
   gateway: ObserveEnginesGateway,
   signal: AbortSignal,
 ): () => Promise<void> {
   const { backend, clock } = gateway.parts;
-  const observe = async ({ engine, pool }: Observed) => {
+  const pollEngine = async ({ engine, pool }: PooledEngine) => {
     const timeout = new AbortController();
     clock.schedule(POLL_TIMEOUT_MS, () => timeout.abort("timeout"), signal);
     const load = await backend.readLoad(
@@ -46,7 +54,7 @@
       AbortSignal.any([signal, timeout.signal]),
     );
     if (load.isErr()) return;
-    // What comes back is cold: other regions get little credit at first.
+    // A recovered engine has a cold cache, so other regions get few credits at first.
     if (engine.health.unreachableUntilMs > 0) {
       gateway.ledger.startRamp(clock.nowMs());
     }
@@ -54,21 +62,21 @@
     pool.queue.wake();
   };
   return async () => {
-    const due = [...gateway.configuration.view.services.keys()]
+    const dueEngines = [...gateway.configuration.view.services.keys()]
       .map((service) => gateway.readPool(service))
-      .flatMap((pool) => listDue(gateway, pool));
-    await Promise.all(due.map(observe));
+      .flatMap((pool) => listDueEngines(gateway, pool));
+    await Promise.all(dueEngines.map(pollEngine));
   };
 }
 
-function listDue(
+function listDueEngines(
   gateway: ObserveEnginesGateway,
   pool: ServicePool,
-): readonly Observed[] {
+): readonly PooledEngine[] {
   const { clock, self } = gateway.parts;
   const nowMs = clock.nowMs();
   const all = pool.engines.map((engine) => ({ pool, engine }));
-  if (all.length <= POLL_ALL) return all;
+  if (all.length <= MAX_FULL_POLL) return all;
   const live = gateway.membership.liveIds;
   return all
     .filter(({ engine }) =>
@@ -76,15 +84,20 @@
         self.id,
       )
     )
-    .filter(({ engine }) => engine.readReportAgeMs(nowMs) > FRESH_MS)
+    .filter(({ engine }) =>
+      engine.readReportAgeMs(nowMs) > MAX_FRESH_REPORT_AGE_MS
+    )
     .toSorted((a, b) => compareUrgency(a.engine, b.engine, nowMs))
-    .slice(0, MAX_POLLS_LARGE);
+    .slice(0, MAX_POLLS_PER_ROUND);
 }
 
-/** Engines that were away first, since they wait for a poll; then those with the oldest report. */
+/**
+ * Orders unreachable engines first, since they wait for a poll, then the others by the
+ * age of their last report, oldest first.
+ */
 function compareUrgency(a: EngineModel, b: EngineModel, nowMs: number): number {
-  const isAway = ({ health }: EngineModel) =>
+  const rankReachable = ({ health }: EngineModel) =>
     health.unreachableUntilMs > 0 ? 0 : 1;
-  return isAway(a) - isAway(b) ||
+  return rankReachable(a) - rankReachable(b) ||
     b.readReportAgeMs(nowMs) - a.readReportAgeMs(nowMs);
 }
--- a/controllers/place_versions.ts
+++ b/controllers/place_versions.ts
@@ -12,9 +12,9 @@
 import type { ServicePool } from "../routing/mod.ts";
 import type { GuardedStore } from "../store/mod.ts";
 import { decidePlacement, type PlacedEngine } from "./decide_placement.ts";
-import { LoadRate } from "./load_rate.ts";
+import { LoadRateLimiter } from "./load_rate.ts";
 
-/** What placing versions needs of a daemon. */
+/** Parts of an instance that {@linkcode createPlaceVersions} uses. */
 export interface PlaceVersionsGateway {
   readonly parts: Pick<
     GatewayParts,
@@ -26,44 +26,48 @@
   readonly store: GuardedStore;
 }
 
-/** The controller of a region's placement. */
-export interface PlaceVersions {
-  /** Observes, decides and acts once. */
+/** Controller of a region's placement. */
+export interface PlacementController {
+  /** Observes the engines, decides and sends orders once. */
   readonly run: () => Promise<void>;
-  /** How far the placements are; empty where this daemon does not hold the lease. */
+  /** Returns the status of the placements; empty if this instance does not hold the lease. */
   readonly readStatuses: () => readonly PlacementStatus[];
-  /** Gives the lease back. */
+  /** Releases the lease. */
   readonly release: () => Promise<void>;
 }
 
-const ORDER_MS = 5_000;
+/** Assumed maximum duration of an order, for which the lease must remain safe. */
+const ORDER_DURATION_MS = 5_000;
+/** Maximum number of concurrent loads in the region. */
 const MAX_LOADS = 2;
-/** How long an engine that serves what is wanted is not asked again, on average. */
-const SETTLED_PAUSE_MS = 30_000;
-const FIRST_RETRY_MS = 2_000;
-const LONGEST_RETRY_MS = 120_000;
+/** Average interval between two polls of an engine that serves the declared version. */
+const SETTLED_POLL_INTERVAL_MS = 30_000;
+const INITIAL_RETRY_MS = 2_000;
+const MAX_RETRY_MS = 120_000;
 
-interface EngineMemory {
+interface EngineRecord {
   hasOrderInFlight: boolean;
   failures: number;
   retryAtMs: number;
   lastFailedOrder: string | undefined;
-  /** What it reported last, and when it is asked again if it is as wanted. */
+  /** State that the engine reported last. */
   state: EngineState | undefined;
-  askAgainMs: number;
+  /** Time before which the engine is not polled again, in milliseconds. */
+  nextPollMs: number;
 }
 
 /**
- * Returns the controller that has engines load what operators declared. It
- * acts under the lease of the region's placement, with its token on each order.
+ * Returns the controller that makes engines load the versions that operators declared.
+ * It acts only while it holds the lease of the region's placement, and sends the
+ * lease's fencing token with each order.
  *
- * @param gateway The daemon.
+ * @param gateway Instance that the controller runs in.
  */
 export function createPlaceVersions(
   gateway: PlaceVersionsGateway,
-): PlaceVersions {
+): PlacementController {
   const { backend, clock, metrics, random, self } = gateway.parts;
-  const holder = new LeaseHolder({
+  const lease = new LeaseHolder({
     store: gateway.store,
     clock,
     random,
@@ -71,86 +75,92 @@
     owner: self.id,
     terms: LEASE_TERMS,
   });
-  const memories = new Map<string, EngineMemory>();
+  const records = new Map<string, EngineRecord>();
   let statuses: readonly PlacementStatus[] = [];
-  const loadRate = new LoadRate(clock.nowMs());
-  /** The weight store's rate is shared by regions, since each has one holder. */
+  const loadRateLimiter = new LoadRateLimiter(clock.nowMs());
+  /**
+   * Each region has one lease holder, so the weight store's rate is divided by the
+   * number of regions.
+   */
   const countFreeLoads = () => {
     const regions = readRegions(gateway.configuration.catalog).length;
     const part = gateway.parts.options.weightLoadsPerMinute /
       Math.max(1, regions);
-    return loadRate.countFree(part, clock.nowMs());
+    return loadRateLimiter.refillAndCount(part, clock.nowMs());
   };
 
-  const readMemory = (id: string): EngineMemory => {
-    const known = memories.get(id);
+  const getRecord = (id: string): EngineRecord => {
+    const known = records.get(id);
     if (known !== undefined) return known;
-    const memory = {
+    const record = {
       hasOrderInFlight: false,
       failures: 0,
       retryAtMs: 0,
       lastFailedOrder: undefined,
       state: undefined,
-      askAgainMs: 0,
+      nextPollMs: 0,
     };
-    memories.set(id, memory);
-    return memory;
+    records.set(id, record);
+    return record;
   };
 
-  /** An engine that serves what is wanted is asked less often than one that differs. */
+  /** Polls an engine; one that serves the declared version is polled less often than others. */
   const observe = async (
     server: BackendServer,
     wanted: string,
   ): Promise<PlacedEngine> => {
-    const memory = readMemory(server.id);
+    const record = getRecord(server.id);
     const nowMs = clock.nowMs();
-    if (nowMs >= memory.askAgainMs) {
-      memory.state = (await backend.readState(server)).unwrapOr(undefined);
-      recordFailure(memory);
-      const isSettled = memory.state?.version === wanted &&
-        memory.state.loading === undefined;
-      const pauseMs = SETTLED_PAUSE_MS * (0.5 + random.nextFloat());
-      memory.askAgainMs = isSettled ? nowMs + pauseMs : nowMs;
+    if (nowMs >= record.nextPollMs) {
+      record.state = (await backend.readState(server)).unwrapOr(undefined);
+      recordFailure(record);
+      const isSettled = record.state?.version === wanted &&
+        record.state.loading === undefined;
+      const pauseMs = SETTLED_POLL_INTERVAL_MS * (0.5 + random.nextFloat());
+      record.nextPollMs = isSettled ? nowMs + pauseMs : nowMs;
     }
     return {
       id: server.id,
       service: server.service,
       isLeaving: server.isLeaving,
-      state: memory.state,
-      retryAtMs: memory.retryAtMs,
+      state: record.state,
+      retryAtMs: record.retryAtMs,
     };
   };
 
-  const recordFailure = (memory: EngineMemory) => {
-    const { state } = memory;
+  const recordFailure = (record: EngineRecord) => {
+    const { state } = record;
     const isNewFailure = state?.failure !== undefined &&
-      state.orderId !== memory.lastFailedOrder;
+      state.orderId !== record.lastFailedOrder;
     if (isNewFailure) {
-      memory.lastFailedOrder = state.orderId;
-      memory.failures++;
-      const longestMs = Math.min(
-        LONGEST_RETRY_MS,
-        FIRST_RETRY_MS * 2 ** (memory.failures - 1),
+      record.lastFailedOrder = state.orderId;
+      record.failures++;
+      const maxDelayMs = Math.min(
+        MAX_RETRY_MS,
+        INITIAL_RETRY_MS * 2 ** (record.failures - 1),
       );
-      memory.retryAtMs = clock.nowMs() +
-        longestMs * (0.5 + random.nextFloat() / 2);
+      record.retryAtMs = clock.nowMs() +
+        maxDelayMs * (0.5 + random.nextFloat() / 2);
     }
     if (state?.failure === undefined && state?.loading === undefined) {
-      memory.failures = 0;
+      record.failures = 0;
     }
   };
 
-  const send = async (server: BackendServer, version: string | undefined) => {
-    const memory = readMemory(server.id);
-    const { held } = holder;
+  const sendOrder = async (
+    server: BackendServer,
+    version: string | undefined,
+  ) => {
+    const record = getRecord(server.id);
+    const { held } = lease;
     const decision = decideOrder({
       checksFencing: server.checksFencing,
-      hasOrderInFlight: memory.hasOrderInFlight,
-    }, holder.isSafe(ORDER_MS));
+      hasOrderInFlight: record.hasOrderInFlight,
+    }, lease.isSafe(ORDER_DURATION_MS));
     if (decision.kind === "wait" || held === undefined) return;
-    memory.hasOrderInFlight = true;
-    if (version !== undefined) loadRate.take();
-    memory.askAgainMs = 0;
+    record.hasOrderInFlight = true;
+    if (version !== undefined) loadRateLimiter.take();
+    record.nextPollMs = 0;
     metrics.count("placement.orders");
     const orderId = createToken(random);
     const sent = await backend.order(server, {
@@ -158,25 +168,28 @@
       orderId,
       version,
     });
-    memory.hasOrderInFlight = false;
-    if (sent.isErr() && sent.error.kind === "fenced") await holder.release();
+    record.hasOrderInFlight = false;
+    if (sent.isErr() && sent.error.kind === "fenced") await lease.release();
   };
 
   return {
-    readStatuses: () => holder.held === undefined ? [] : statuses,
-    release: () => holder.release(),
+    readStatuses: () => lease.held === undefined ? [] : statuses,
+    release: () => lease.release(),
     run: async () => {
       const wanted = readResources(gateway.configuration.catalog, "placement")
         .map(({ spec }) => spec).filter(({ region }) => region === self.region);
-      const isFirst =
+      const isPreferredHolder =
         rankNames(`placement ${self.region}`, gateway.membership.liveIds)[0] ===
           self.id;
-      if (wanted.length === 0 || (!isFirst && holder.held === undefined)) {
+      if (
+        wanted.length === 0 ||
+        (!isPreferredHolder && lease.held === undefined)
+      ) {
         return;
       }
-      await holder.renew();
-      if (!isFirst) return await holder.release();
-      if (holder.held === undefined) return;
+      await lease.renew();
+      if (!isPreferredHolder) return await lease.release();
+      if (lease.held === undefined) return;
       const servers = wanted.flatMap(({ service }) =>
         gateway.readPool(service).engines.map(({ server }) => server)
       );
@@ -200,7 +213,7 @@
       );
       await Promise.all(
         decision.orders.map(({ engine, version }) =>
-          send(byId.get(engine)!, version)
+          sendOrder(byId.get(engine)!, version)
         ),
       );
     },
--- a/controllers/place_versions_test.ts
+++ b/controllers/place_versions_test.ts
@@ -5,27 +5,27 @@
 import { FakeFleet, NEW_ENGINE } from "../standin/mod.ts";
 
 describe("createPlaceVersions()", () => {
-  describe("with engines that serve what is wanted", () => {
-    it("asks them seldom, and loads again what one has lost", async () => {
+  describe("with engines that serve the declared version", () => {
+    it("polls them rarely and loads the version again when one loses it", async () => {
       const fleet = new FakeFleet({
         regions: ["r1"],
         weightLoadsPerMinute: 20,
       });
       const states = new Map<string, EngineState>();
       const orders: EngineOrder[] = [];
-      let asked = 0;
+      let polls = 0;
       fleet.daemons.forEach(({ gateway }) => {
         const { backend } = gateway.parts;
         backend.readState = (server) => {
-          asked++;
+          polls++;
           const known = states.get(server.id);
-          const nothing = {
+          const emptyState = {
             version: undefined,
             loading: undefined,
             failure: undefined,
           };
           return Promise.resolve(
-            ok(known ?? { ...nothing, orderId: undefined }),
+            ok(known ?? { ...emptyState, orderId: undefined }),
           );
         };
         backend.order = (server, order) => {
@@ -63,7 +63,7 @@
           spec: { service: "chat", region: "r1", version: "v1", replicas: 6 },
         },
       ]);
-      // Two at once, then one every 3 s: the rate of the weight store.
+      // The weight store's rate allows two loads at once, then one every 3 s.
       assert.ok(orders.length <= 3, `${orders.length} loads in the first 3 s`);
       await fleet.clock.advance(7_000);
       assert.ok(orders.length <= 5, `${orders.length} loads in the first 10 s`);
@@ -73,9 +73,9 @@
         new Set(orders.map(({ fencingToken }) => fencingToken)).size,
         1,
       );
-      asked = 0;
+      polls = 0;
       await fleet.clock.advance(60_000);
-      assert.ok(asked <= 6 * 4, `asked ${asked} times in a minute`);
+      assert.ok(polls <= 6 * 4, `asked ${polls} times in a minute`);
       assert.equal(orders.length, 6, "it orders nothing where nothing differs");
       states.delete("e3");
       await fleet.clock.advance(60_000);
--- a/controllers/publish_entries.ts
+++ b/controllers/publish_entries.ts
@@ -1,16 +1,22 @@
 import { type Membership, rankNames } from "../membership/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
 
-/** What publishing entries needs of a daemon. */
+/** Parts of an instance that {@linkcode createPublishEntries} uses. */
 export interface PublishEntriesGateway {
   readonly parts: Pick<GatewayParts, "clock" | "directory" | "self">;
   readonly isReady: boolean;
   readonly membership: Membership;
 }
 
+/** Interval at which unchanged entries are published again. */
 const REPUBLISH_MS = 10_000;
 
-/** Returns the controller that publishes the entries of its region in the directory. */
+/**
+ * Returns the controller that publishes the entries of this instance's region in the
+ * directory.
+ *
+ * @param gateway Instance that the controller runs in.
+ */
 export function createPublishEntries(
   gateway: PublishEntriesGateway,
 ): () => Promise<void> {
--- a/controllers/send_heartbeats.ts
+++ b/controllers/send_heartbeats.ts
@@ -4,20 +4,22 @@
 import type { ReportedEnds } from "../quarantine/mod.ts";
 import type { ServicePool } from "../routing/mod.ts";
 
-/** What sending heartbeats needs of a daemon. */
+/** Parts of an instance that {@linkcode createSendHeartbeats} uses. */
 export interface SendHeartbeatsGateway {
   readonly parts: Pick<GatewayParts, "clock" | "metrics" | "peers">;
   readonly configuration: ConfigurationState;
   readonly membership: Membership;
   /**
-   * Returns what is told of calls under which servers ended.
+   * Returns a function that lists the reports of calls under which servers crashed.
    *
-   * @param isFar Whether the heartbeat goes to another region, which is told seldom.
+   * @param isRemote Whether the heartbeat goes to another region, to which reports are
+   * sent less often.
    */
-  takeEnds(): (isFar: boolean) => readonly ReportedEnds[];
+  takeEnds(): (isRemote: boolean) => readonly ReportedEnds[];
   readPool(service: string): ServicePool;
 }
 
+/** Call for which the time to the first token is estimated in digests. */
 const TYPICAL_CALL = {
   promptTokens: 200,
   outputTokens: 64,
@@ -25,7 +27,11 @@
   prefixTokens: 0,
 };
 
-/** Returns the controller that sends heartbeats. */
+/**
+ * Returns the controller that sends heartbeats.
+ *
+ * @param gateway Instance that the controller runs in.
+ */
 export function createSendHeartbeats(
   gateway: SendHeartbeatsGateway,
 ): () => void {
@@ -36,9 +42,9 @@
       services: gateway.membership.isObserver ? readServices(gateway) : [],
     };
     const outgoing = gateway.membership.decideTick(local, clock.nowMs());
-    const listEnds = gateway.takeEnds();
+    const listCrashReports = gateway.takeEnds();
     outgoing.forEach(({ to, heartbeat }) => {
-      const ends = listEnds(to.region !== heartbeat.region);
+      const ends = listCrashReports(to.region !== heartbeat.region);
       peers.send(to, ends.length === 0 ? heartbeat : { ...heartbeat, ends });
     });
     metrics.gauge("membership.live", gateway.membership.liveIds.length);
--- a/controllers/share_limits.ts
+++ b/controllers/share_limits.ts
@@ -3,129 +3,157 @@
 import type { InstanceRecord, Membership } from "../membership/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
 
-/** What sharing limits needs of a daemon. */
-export interface ShareLimitsGateway {
+/** Parts of an instance that {@linkcode LimitBorrower} uses. */
+export interface LimitBorrowerGateway {
   readonly parts: Pick<GatewayParts, "clock" | "peers" | "self">;
   readonly limits: TeamLimits;
   readonly membership: Membership;
   readLimitHolders(team: TeamId): readonly string[];
 }
 
-const SHORTEST_PAUSE_MS = 150;
-const LONGEST_PAUSE_MS = 2_000;
-/** A rest below this part of the wish is not asked for. */
-const ENOUGH_SHARE = 0.05;
-/** A round that brings less than this part of the wish counts as one in vain. */
-const VAIN_SHARE = 0.1;
-/** A round that brings this part of the wish is enough until the loans must be prolonged. */
-const PROLONG_SHARE = 0.9;
-const PROLONG_PAUSE_MS = 800;
+/** Bounds of the pause between two rounds of requests for one team. */
+const MIN_PAUSE_MS = 150;
+const MAX_PAUSE_MS = 2_000;
+/** A remainder below this fraction of the shortfall is not requested. */
+const MIN_REMAINDER_FRACTION = 0.05;
+/** A round that grants less than this fraction of the shortfall counts as unsuccessful. */
+const MIN_USEFUL_FRACTION = 0.1;
+/**
+ * A round that grants at least this fraction of the shortfall is sufficient until the
+ * loans must be renewed.
+ */
+const SUFFICIENT_FRACTION = 0.9;
+/** Pause after a sufficient round, until the loans are renewed. */
+const LOAN_RENEWAL_PAUSE_MS = 800;
 
-interface LastRound {
-  readonly atMs: number;
+interface BorrowRound {
+  readonly startedMs: number;
   readonly pauseMs: number;
   readonly answered: Promise<void>;
 }
 
 /**
- * Borrows parts of team limits from other instances. Where nothing is to be had
- * it asks less and less often.
+ * Borrows parts of team limits from other instances. While the others grant too
+ * little, the pause between requests grows.
  */
 export class LimitBorrower {
-  readonly #gateway: ShareLimitsGateway;
-  readonly #rounds = new Map<TeamId, LastRound>();
+  readonly #gateway: LimitBorrowerGateway;
+  readonly #lastRounds = new Map<TeamId, BorrowRound>();
 
-  /** @param gateway The daemon. */
-  constructor(gateway: ShareLimitsGateway) {
+  /** @param gateway Instance that borrows. */
+  constructor(gateway: LimitBorrowerGateway) {
     this.#gateway = gateway;
   }
 
-  /** Borrows for all teams that need it. */
+  /** Borrows for all teams that need more than their share on this instance. */
   async borrowAll(): Promise<void> {
-    const wishes = this.#gateway.limits.decideBorrow(
+    const shortfalls = this.#gateway.limits.decideBorrow(
       this.#gateway.parts.clock.nowMs(),
     );
-    await Promise.all(wishes.map((wish) => this.#borrowOnce(wish)));
+    await Promise.all(shortfalls.map((each) => this.#borrow(each)));
   }
 
-  /** Borrows for one team, unless it was tried just now; resolves with the answers. */
+  /**
+   * Borrows for one team, unless its last round is too recent. Resolves once the round
+   * is answered.
+   */
   async borrowFor(team: TeamId): Promise<void> {
     const nowMs = this.#gateway.parts.clock.nowMs();
-    const last = this.#rounds.get(team);
-    if (last !== undefined && nowMs - last.atMs < last.pauseMs) {
+    const last = this.#lastRounds.get(team);
+    if (last !== undefined && nowMs - last.startedMs < last.pauseMs) {
       return await last.answered;
     }
-    const wish = this.#gateway.limits.decideBorrow(nowMs).find((each) =>
+    const shortfall = this.#gateway.limits.decideBorrow(nowMs).find((each) =>
       each.team === team
     );
-    if (wish !== undefined) await this.#borrowOnce(wish);
+    if (shortfall !== undefined) await this.#borrow(shortfall);
   }
 
-  async #borrowOnce(wish: BorrowWish): Promise<void> {
-    const atMs = this.#gateway.parts.clock.nowMs();
-    const last = this.#rounds.get(wish.team);
-    if (last !== undefined && atMs - last.atMs < last.pauseMs) {
+  async #borrow(shortfall: BorrowWish): Promise<void> {
+    const startedMs = this.#gateway.parts.clock.nowMs();
+    const last = this.#lastRounds.get(shortfall.team);
+    if (last !== undefined && startedMs - last.startedMs < last.pauseMs) {
       return await last.answered;
     }
-    const longerMs = Math.min(
-      LONGEST_PAUSE_MS,
-      (last?.pauseMs ?? SHORTEST_PAUSE_MS) * 2,
+    const backoffMs = Math.min(
+      MAX_PAUSE_MS,
+      (last?.pauseMs ?? MIN_PAUSE_MS) * 2,
     );
-    const answered = askAll(this.#gateway, wish).then((granted) => {
-      if (granted < wish.wanted * VAIN_SHARE) return;
-      const isEnough = granted >= wish.wanted * PROLONG_SHARE;
-      const pauseMs = isEnough ? PROLONG_PAUSE_MS : SHORTEST_PAUSE_MS * 2;
-      this.#rounds.set(wish.team, { atMs, pauseMs, answered });
+    const answered = borrowFromAll(this.#gateway, shortfall).then((granted) => {
+      if (granted < shortfall.wanted * MIN_USEFUL_FRACTION) return;
+      const isEnough = granted >= shortfall.wanted * SUFFICIENT_FRACTION;
+      const pauseMs = isEnough ? LOAN_RENEWAL_PAUSE_MS : MIN_PAUSE_MS * 2;
+      this.#lastRounds.set(shortfall.team, {
+        startedMs,
+        pauseMs,
+        answered,
+      });
+    });
+    this.#lastRounds.set(shortfall.team, {
+      startedMs,
+      pauseMs: backoffMs,
+      answered,
     });
-    this.#rounds.set(wish.team, { atMs, pauseMs: longerMs, answered });
     await answered;
   }
 }
 
-/** Asks all lenders for equal parts, then those that had them for the rest. */
-async function askAll(
-  gateway: ShareLimitsGateway,
-  wish: BorrowWish,
+/**
+ * Requests equal parts from all lenders, then the remainder from those that granted
+ * their whole part. Returns the granted rate, in requests per second.
+ */
+async function borrowFromAll(
+  gateway: LimitBorrowerGateway,
+  shortfall: BorrowWish,
 ): Promise<number> {
   const { clock, self } = gateway.parts;
-  const lenders = gateway.readLimitHolders(wish.team)
+  const lenders = gateway.readLimitHolders(shortfall.team)
     .filter((id) => id !== self.id)
     .map((id) => gateway.membership.readRecord(id as typeof self.id))
     .filter((record): record is InstanceRecord => record !== undefined);
   const nowMs = clock.nowMs();
-  const held = lenders.map(({ id }) =>
-    gateway.limits.readBorrowed(wish.team, id, nowMs)
+  const borrowed = lenders.map(({ id }) =>
+    gateway.limits.readBorrowed(shortfall.team, id, nowMs)
   );
-  const part = wish.wanted / Math.max(1, lenders.length);
+  const equalPart = shortfall.wanted / Math.max(1, lenders.length);
   const granted = await Promise.all(
     lenders.map((lender, index) =>
-      askOne(gateway, lender, {
-        team: wish.team,
-        wanted: Math.max(part, held[index]!),
+      requestLoan(gateway, lender, {
+        team: shortfall.team,
+        wanted: Math.max(equalPart, borrowed[index]!),
       })
     ),
   );
-  const rest = wish.wanted - sumAll(granted);
-  const willing = lenders.filter((_, index) => granted[index]! >= part);
-  if (rest < wish.wanted * ENOUGH_SHARE || willing.length === 0) {
-    return sumAll(granted);
+  const remainder = shortfall.wanted - sumRates(granted);
+  const fullLenders = lenders.filter((_, index) =>
+    granted[index]! >= equalPart
+  );
+  if (
+    remainder < shortfall.wanted * MIN_REMAINDER_FRACTION ||
+    fullLenders.length === 0
+  ) {
+    return sumRates(granted);
   }
-  const more = { team: wish.team, wanted: part + rest / willing.length };
+  const largerRequest = {
+    team: shortfall.team,
+    wanted: equalPart + remainder / fullLenders.length,
+  };
   const added = await Promise.all(
-    willing.map((lender) => askOne(gateway, lender, more)),
+    fullLenders.map((lender) => requestLoan(gateway, lender, largerRequest)),
   );
-  return sumAll(granted) + sumAll(added) - willing.length * part;
+  return sumRates(granted) + sumRates(added) - fullLenders.length * equalPart;
 }
 
-async function askOne(
-  gateway: ShareLimitsGateway,
+/** Requests a loan from one lender and returns the granted rate, in requests per second. */
+async function requestLoan(
+  gateway: LimitBorrowerGateway,
   lender: InstanceRecord,
-  wish: BorrowWish,
+  request: BorrowWish,
 ): Promise<number> {
   const { clock, peers, self } = gateway.parts;
   const askedMs = clock.nowMs();
   const loan = await peers.call(lender, "limits.borrow", {
-    wish: { ...wish, from: self.id },
+    wish: { ...request, from: self.id },
   });
   if (loan.isErr()) return 0;
   gateway.limits.recordLoan(lender.id, loan.value, {
@@ -135,6 +163,6 @@
   return loan.value.rate;
 }
 
-function sumAll(rates: readonly number[]): number {
+function sumRates(rates: readonly number[]): number {
   return rates.reduce((sum, rate) => sum + rate, 0);
 }
--- a/controllers/watch_instances.ts
+++ b/controllers/watch_instances.ts
@@ -2,7 +2,7 @@
 import type { GatewayParts } from "../ports/mod.ts";
 import type { StoreBudget } from "../store/mod.ts";
 
-/** What watching instances needs of a daemon. */
+/** Parts of an instance that {@linkcode createWatchInstances} uses. */
 export interface WatchInstancesGateway {
   readonly parts: Pick<
     GatewayParts,
@@ -13,26 +13,34 @@
   refreshPools(): void;
 }
 
-const MIN_STORE_CALLS = 5;
+/** Minimum rate of store calls of one instance, however many instances share the budget. */
+const MIN_STORE_CALLS_PER_SECOND = 5;
 
-/** Returns the controller that reads the platform's list and shares the store's budget by it. */
+/**
+ * Returns the controller that reads the platform's instance list and divides the budget
+ * of store calls by the number of instances.
+ *
+ * @param gateway Instance that the controller runs in.
+ */
 export function createWatchInstances(
   gateway: WatchInstancesGateway,
 ): () => Promise<void> {
   const { clock, instances, logger, options } = gateway.parts;
-  let known = "";
+  let knownIds = "";
   return async () => {
     const read = await instances.read();
     if (read.isErr()) {
-      logger.debug("instance list failed", { reason: read.error.message });
+      logger.debug("reading the instance list failed", {
+        reason: read.error.message,
+      });
       return;
     }
-    const text = read.value.map(({ id }) => id).sort().join(" ");
+    const ids = read.value.map(({ id }) => id).sort().join(" ");
     gateway.membership.applyList(read.value, clock.nowMs());
-    // The parts of large pools follow from who is there.
-    if (text !== known) gateway.refreshPools();
-    known = text;
+    // The subsets of large pools depend on which instances are listed.
+    if (ids !== knownIds) gateway.refreshPools();
+    knownIds = ids;
     const share = options.storeCallsPerSecond / Math.max(1, read.value.length);
-    gateway.budget.setRate(Math.max(MIN_STORE_CALLS, share));
+    gateway.budget.setRate(Math.max(MIN_STORE_CALLS_PER_SECOND, share));
   };
 }
--- a/controllers/work_batches.ts
+++ b/controllers/work_batches.ts
@@ -17,7 +17,7 @@
 import { BATCH_WORKERS } from "../routing/mod.ts";
 import type { GuardedStore } from "../store/mod.ts";
 
-/** What working on batches needs of a daemon. */
+/** Parts of an instance that {@linkcode createWorkBatches} uses. */
 export interface WorkBatchesGateway {
   readonly parts: Pick<GatewayParts, "clock" | "metrics" | "random" | "self">;
   readonly configuration: ConfigurationState;
@@ -31,20 +31,21 @@
   readonly store: GuardedStore;
 }
 
-/** Packs that one daemon works on at once. */
-const PACKS_AT_ONCE = 3;
-const IDLE_LIST_MS = 4_000;
-/** How long answers are kept after the end of a batch. */
+/** Maximum number of packs that one instance works on at once. */
+const MAX_ACTIVE_PACKS = 3;
+/** Average interval between two reads of the batch list while no batch is open. */
+const IDLE_LIST_INTERVAL_MS = 4_000;
+/** How long answers are retained after the end of a batch: 7 days. */
 const RETENTION_MS = 7 * 86_400_000;
-/** Pause between two looks for batches to remove, for each worker. */
+/** Average interval at which each worker removes expired batches. */
 const REMOVAL_INTERVAL_MS = 3_600_000;
 const ITEM_DEADLINE_MS = 60_000;
 
 /**
- * Returns the controller that works on batches: it claims packs under a lease
- * of its own, so that another daemon takes them over when this one dies.
+ * Returns the controller that works on batches. It claims packs under a lease of its
+ * own, so that another instance takes them over when this one dies.
  *
- * @param gateway The daemon.
+ * @param gateway Instance that the controller runs in.
  * @param signal Ends the work.
  */
 export function createWorkBatches(
@@ -56,7 +57,7 @@
     gateway.store,
     () => toChangeId(createToken(random)),
   );
-  const working = new Set<string>();
+  const activePacks = new Set<string>();
   let nextListMs = 0;
   let nextRemovalMs = clock.nowMs() + REMOVAL_INTERVAL_MS * random.nextFloat();
   const removeEnded = async () => {
@@ -67,7 +68,7 @@
   };
   let lease: { readonly id: string; readonly renewedMs: number } | undefined;
 
-  const keepLease = async (): Promise<boolean> => {
+  const ensureLease = async (): Promise<boolean> => {
     const askedMs = clock.elapsedMs();
     const options = { callClass: "lease" } as const;
     if (lease !== undefined) {
@@ -87,7 +88,7 @@
     return true;
   };
 
-  const claim = async (
+  const claimPack = async (
     id: string,
     pack: number,
   ): Promise<number | undefined> => {
@@ -104,57 +105,60 @@
 
   const workOn = async (head: BatchHead, pack: number) => {
     const key = `${head.id}/${pack}`;
-    working.add(key);
-    const claimed = await claim(head.id, pack);
-    if (claimed !== undefined) {
-      await runClaimed(gateway, store, { head, pack, signal });
+    activePacks.add(key);
+    const claimRevision = await claimPack(head.id, pack);
+    if (claimRevision !== undefined) {
+      await runClaimedPack(gateway, store, { head, pack, signal });
       await gateway.store.swap({
         key: toClaimKey(head.id, pack),
-        expectedRevision: claimed,
+        expectedRevision: claimRevision,
         value: undefined,
       }, { callClass: "batch" });
     }
-    working.delete(key);
+    activePacks.delete(key);
   };
 
   return async () => {
     const live = gateway.membership.liveIds;
     const isWorker = rankNames("batches", live).slice(0, BATCH_WORKERS)
       .includes(self.id);
-    if (!isWorker || !gateway.isReady || working.size >= PACKS_AT_ONCE) {
-      if (working.size > 0) await keepLease();
+    if (!isWorker || !gateway.isReady || activePacks.size >= MAX_ACTIVE_PACKS) {
+      if (activePacks.size > 0) await ensureLease();
       return;
     }
     await removeEnded();
-    if (clock.nowMs() < nextListMs && working.size === 0) return;
+    if (clock.nowMs() < nextListMs && activePacks.size === 0) return;
     const open = await store.listOpen();
     if (open.isErr() || open.value.length === 0) {
-      // With nothing open the list is read less often, at times of each worker's own.
-      nextListMs = clock.nowMs() + IDLE_LIST_MS * (0.5 + random.nextFloat());
+      // Without open batches the list is read less often, at a random time for each worker.
+      nextListMs = clock.nowMs() +
+        IDLE_LIST_INTERVAL_MS * (0.5 + random.nextFloat());
       return;
     }
-    if (!await keepLease()) return;
+    if (!await ensureLease()) return;
     for (const id of open.value) {
       const head = await store.readHead(id);
       if (head.isErr()) return;
       if (head.value === undefined || head.value.state !== "open") {
-        const isOld = head.value !== undefined;
-        if (isOld) await store.dropPointer(id);
+        const hasHead = head.value !== undefined;
+        if (hasHead) await store.dropPointer(id);
         continue;
       }
       if (!isAllowedHere(gateway, head.value)) continue;
-      const todo = await listUnfinished(store, head.value);
-      if (todo === undefined) return;
-      if (todo.length === 0) {
+      const unfinished = await listUnfinished(store, head.value);
+      if (unfinished === undefined) return;
+      if (unfinished.length === 0) {
         await store.end(id, "done", clock.nowMs());
         continue;
       }
-      const free = todo.filter((pack) => !working.has(`${id}/${pack}`));
+      const free = unfinished.filter((pack) =>
+        !activePacks.has(`${id}/${pack}`)
+      );
       const start = Math.floor(random.nextFloat() * free.length);
       [...free.slice(start), ...free.slice(0, start)]
-        .slice(0, PACKS_AT_ONCE - working.size)
+        .slice(0, MAX_ACTIVE_PACKS - activePacks.size)
         .forEach((pack) => void workOn(head.value!, pack));
-      if (working.size >= PACKS_AT_ONCE) return;
+      if (activePacks.size >= MAX_ACTIVE_PACKS) return;
     }
   };
 }
@@ -169,7 +173,7 @@
     .filter((pack) => (counts.value.get(pack) ?? 0) < head.packSizes[pack]!);
 }
 
-async function runClaimed(
+async function runClaimedPack(
   gateway: WorkBatchesGateway,
   store: BatchStore,
   work: {
@@ -195,8 +199,8 @@
       runItem(gateway, head, { item, position, signal }),
     save: async (added) => {
       metrics.count("batch.items_done", Object.keys(added).length);
-      const head2 = await store.readHead(head.id);
-      if (head2.isOk() && head2.value?.state === "cancelled") return false;
+      const latest = await store.readHead(head.id);
+      if (latest.isOk() && latest.value?.state === "cancelled") return false;
       return (await store.writeAnswers(head.id, pack, added)).isOk();
     },
   }, { items: items.value, offset, answers: answers.value, dueMs: head.dueMs });
@@ -212,7 +216,7 @@
   },
 ): Promise<ItemOutcome> {
   const { item, position, signal } = work;
-  const leftMs = Math.max(
+  const remainingMs = Math.max(
     1,
     Math.floor(head.dueMs - gateway.parts.clock.nowMs()),
   );
@@ -224,7 +228,7 @@
     headers: {
       "content-type": "application/json",
       "x-priority": "batch",
-      "x-deadline-ms": String(Math.min(ITEM_DEADLINE_MS, leftMs)),
+      "x-deadline-ms": String(Math.min(ITEM_DEADLINE_MS, remainingMs)),
       ...(item.non_idempotent
         ? {
           "x-non-idempotent": "true",
@@ -248,7 +252,10 @@
   }
 }
 
-/** The items pass through the region that works on them. */
+/**
+ * Returns whether this region may process the batch: the items pass through the region
+ * that works on them.
+ */
 function isAllowedHere(gateway: WorkBatchesGateway, head: BatchHead): boolean {
   const { view } = gateway.configuration;
   const allowed = readBatchRegions(view, head.team, head.services);
