--- a/adapters/call_listener.ts
+++ b/adapters/call_listener.ts
@@ -18,53 +18,60 @@
   toRefusalAnswer,
 } from "../forwarding/mod.ts";
 import { type CallerLimits, INITIAL_LIMITS } from "../http_routes/mod.ts";
-import { ACCEPT_BACKLOG, NewConnections } from "./new_connections.ts";
+import { ACCEPT_BACKLOG, DisconnectDetector } from "./new_connections.ts";
 
 /**
- * Largest header block that the parser takes, in bytes. The bound in force is
- * checked after it and can change while the listener runs.
+ * Maximum size of a header block that the parser accepts, in bytes. The configured
+ * bound is checked after parsing, because it can change while the listener runs.
  */
 const PARSER_HEADER_BYTES = 65_536;
-/** Pause between checks of slow headers and idle connections, in milliseconds. */
+/** Interval between checks for slow headers and idle connections, in milliseconds. */
 const CHECK_INTERVAL_MS = 1_000;
-/** Longest body that is read before its call is refused. */
+/** Maximum size of a body that is read even if its call is refused, in bytes. */
 const SHORT_BODY_BYTES = 16_384;
-/** The body of calls without one. */
+/** Body of calls that were sent without one. */
 const NO_BODY = Buffer.alloc(0);
 
-/** What a listener is created from. */
+/** Address, time source and handlers of a {@linkcode CallListener}. */
 export interface CallListenerParts {
   readonly host: string;
   readonly port: number;
-  /** Time source of `receivedMs`. */
+  /** Returns the current time in milliseconds, for {@linkcode OpaqueCall.receivedMs}. */
   readonly nowMs: () => number;
-  /** Returns the longest that bytes read now have waited, in milliseconds. */
+  /**
+   * Returns the maximum time for which bytes that are read now can have waited
+   * in the socket, in milliseconds.
+   */
   readonly readDelayMs: () => number;
-  /** Reads who sent a call; `undefined` refuses it as malformed. */
+  /** Returns who sent a call, or `undefined` to refuse it as malformed. */
   readonly readOrigin: (headers: RawHeaders) => CallOrigin | undefined;
   /**
-   * Returns why a call is refused whatever its body says, or `undefined`. Default:
-   * every body is read.
+   * Returns why a call is refused regardless of its body, or `undefined` if the body
+   * must be read first. Default: every body is read.
    */
   readonly refuseUnread?: (head: CallHead) => Refusal | undefined;
+  /** Serves one call and writes its answer to the sink. */
   readonly handle: (call: OpaqueCall, sink: CallSink) => Promise<void>;
 }
 
-/** Takes calls over HTTP/1.1 and writes answers unchanged. */
+/** Accepts calls over HTTP/1.1 and writes their answers unchanged. */
 export class CallListener {
   readonly #parts: CallListenerParts;
   readonly #server: Server;
-  /** Open connections, and for how long each may have waited to be accepted; 0 from its first call on. */
+  /**
+   * Open connections, with the maximum time for which each can have waited to be
+   * accepted, in milliseconds; 0 from its first call on.
+   */
   readonly #sockets = new Map<Socket, number>();
-  readonly #newConnections = new NewConnections();
-  /** Calls of each connection whose answers have not left in full yet. */
-  readonly #served = new Map<Duplex, number>();
-  /** Connections that close once their calls are served. */
-  readonly #ending = new Set<Duplex>();
+  readonly #disconnectDetector = new DisconnectDetector();
+  /** Number of calls of each connection whose answers are not fully sent yet. */
+  readonly #openCalls = new Map<Duplex, number>();
+  /** Connections that are closed once their open calls are answered. */
+  readonly #closingSockets = new Set<Duplex>();
   #limits: CallerLimits = INITIAL_LIMITS;
   #isLeaving = false;
 
-  /** @param parts Address and handler. */
+  /** @param parts Address, time source and handlers. */
   constructor(parts: CallListenerParts) {
     this.#parts = parts;
     this.#server = createServer({
@@ -79,17 +86,17 @@
       socket.on("close", () => this.#sockets.delete(socket));
     });
     this.#server.on("request", (message, response) => {
-      void this.#take(message, response);
+      void this.#handleRequest(message, response);
     });
     this.#server.on(
       "clientError",
       (error: NodeJS.ErrnoException, socket) =>
-        this.#refuseUnread(error, socket),
+        this.#handleClientError(error, socket),
     );
     this.setLimits(INITIAL_LIMITS);
   }
 
-  /** Opens the port and returns its number. */
+  /** Starts to listen, and returns the port number. */
   async open(): Promise<number> {
     const { host, port } = this.#parts;
     await new Promise<void>((resolve, reject) => {
@@ -99,56 +106,56 @@
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Puts bounds on callers in force, also for open connections. */
+  /** Sets the bounds on callers; they also apply to open connections. */
   setLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.#server.headersTimeout = limits.headerTimeoutMs;
     this.#server.keepAliveTimeout = limits.idleTimeoutMs;
-    // A caller that stops within a body is as idle as one between two calls.
+    // A caller that stalls within a body is treated like one that is idle between calls.
     this.#server.requestTimeout = Math.max(
       limits.idleTimeoutMs,
       limits.headerTimeoutMs,
     );
   }
 
-  /** Answers that have not left in full yet. */
+  /** Number of calls whose answers are not fully sent yet. */
   get openCount(): number {
-    return [...this.#served.values()].reduce((sum, calls) => sum + calls, 0);
+    return [...this.#openCalls.values()].reduce((sum, calls) => sum + calls, 0);
   }
 
-  /** Asks callers from now on, with each answer, to use another connection. */
+  /** Closes each connection after its next answer, so that callers open another one. */
   startLeaving(): void {
     this.#isLeaving = true;
   }
 
-  /** Closes connections without a call in flight, and takes no new ones. */
+  /** Closes the connections without a call in flight, and accepts no new ones. */
   closeIdle(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
-  /** Closes everything at once. */
+  /** Closes the port and all connections at once. */
   destroy(): void {
     this.#server.close();
     this.#sockets.forEach((_, socket) => socket.destroy());
   }
 
-  async #take(
+  async #handleRequest(
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const unreadMs = this.#readUnreadMs(message.socket);
-    // A caller counts its time from when it sent the call, not from when this
-    // process gets to it: a loop that is behind must not give it more.
+    const unreadMs = this.#takeUnreadMs(message.socket);
+    // The caller's deadline runs from when it sent the call. A delay of the event
+    // loop before the call is read must not extend that deadline.
     const receivedMs = this.#parts.nowMs() - unreadMs;
     response.sendDate = false;
     const { socket } = message;
-    this.#served.set(socket, this.#countServed(socket) + 1);
-    response.on("close", () => this.#noteServed(socket));
+    this.#openCalls.set(socket, this.#countOpenCalls(socket) + 1);
+    response.on("close", () => this.#removeOpenCall(socket));
     if (this.#isLeaving) response.shouldKeepAlive = false;
     const sink = new ResponseSink(response);
     const refuse = (refusal: Refusal) => {
-      // What is left of the body cannot be told from the next call.
+      // The rest of an unread body can't be distinguished from the next call.
       if (!message.complete) response.shouldKeepAlive = false;
       const { head, body } = toRefusalAnswer(refusal);
       sink.begin(head);
@@ -166,9 +173,9 @@
     if (origin === undefined || !message.url?.startsWith("/")) {
       return refuse({ reason: "malformed", message: "The call is malformed" });
     }
-    // A short body is read all the same: it tells where the next call begins, so that
-    // the connection can be kept.
-    if (origin.kind === "caller" && mayBeLong(message)) {
+    // A short body is read even if the call is refused: its end marks where the next
+    // call begins, so that the connection can be reused.
+    if (origin.kind === "caller" && mayHaveLongBody(message)) {
       const refusal = this.#parts.refuseUnread?.({
         target: message.url,
         headers: message.rawHeaders,
@@ -184,7 +191,7 @@
       });
     }
     if (body === "broken") return;
-    if (!await this.#newConnections.isCallerThere(message.socket)) return;
+    if (!await this.#disconnectDetector.isConnected(message.socket)) return;
     const call: OpaqueCall = {
       method: message.method ?? "GET",
       target: message.url,
@@ -197,34 +204,39 @@
     await this.#parts.handle(call, sink);
   }
 
-  #countServed(socket: Duplex): number {
-    return this.#served.get(socket) ?? 0;
+  #countOpenCalls(socket: Duplex): number {
+    return this.#openCalls.get(socket) ?? 0;
   }
 
-  #noteServed(socket: Duplex): void {
-    const left = this.#countServed(socket) - 1;
-    if (left > 0) {
-      this.#served.set(socket, left);
+  #removeOpenCall(socket: Duplex): void {
+    const remaining = this.#countOpenCalls(socket) - 1;
+    if (remaining > 0) {
+      this.#openCalls.set(socket, remaining);
       return;
     }
-    this.#served.delete(socket);
-    if (this.#ending.delete(socket)) socket.end();
+    this.#openCalls.delete(socket);
+    if (this.#closingSockets.delete(socket)) socket.end();
   }
 
   /**
-   * Refuses bytes that are no call, or are late. While a call of the connection is
-   * being served nothing is written, since it would be taken for that call's answer:
-   * one that ran was told that it had not. The connection closes after the answer.
+   * Refuses bytes that are not a valid call, or that arrive too late. While another
+   * call of the connection is being served, nothing is written: the caller would take
+   * the refusal for the answer of that call, and conclude that a call which ran had
+   * not. The connection is closed after that answer instead.
    */
-  #refuseUnread(error: NodeJS.ErrnoException, socket: Duplex): void {
-    const isGone = !socket.writable || error.code === "ECONNRESET";
-    if (isGone) socket.destroy();
-    else if (this.#countServed(socket) > 0) this.#ending.add(socket);
+  #handleClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
+    const isClosed = !socket.writable || error.code === "ECONNRESET";
+    if (isClosed) socket.destroy();
+    else if (this.#countOpenCalls(socket) > 0) this.#closingSockets.add(socket);
     else refuseMalformed(error, socket);
   }
 
-  /** How long a call may have waited until now; the first of a connection also to be accepted. */
-  #readUnreadMs(socket: Socket): number {
+  /**
+   * Returns the maximum time for which a call can have waited to be read, in
+   * milliseconds. The first call of a connection also includes the time for which the
+   * connection waited to be accepted; that time is cleared.
+   */
+  #takeUnreadMs(socket: Socket): number {
     const acceptMs = this.#sockets.get(socket) ?? 0;
     if (acceptMs > 0) this.#sockets.set(socket, 0);
     return acceptMs + this.#parts.readDelayMs();
@@ -237,16 +249,16 @@
 
   constructor(response: ServerResponse) {
     this.#response = response;
-    const left = new AbortController();
-    this.signal = left.signal;
+    const disconnect = new AbortController();
+    this.signal = disconnect.signal;
     response.on("close", () => {
-      if (!response.writableFinished) left.abort("the caller went away");
+      if (!response.writableFinished) disconnect.abort("the caller went away");
     });
   }
 
   begin(head: AnswerHead): void {
     const { headers, status, statusText } = head;
-    // Kept in a list, so that order, spelling and repeated names stay as they are.
+    // A flat list preserves the order, the case and the repetition of header names.
     this.#response.writeHead(status, statusText, headers as string[]);
   }
 
@@ -271,8 +283,8 @@
   }
 }
 
-/** Whether the body of a call may be longer than what arrives with its head. */
-function mayBeLong({ headers }: IncomingMessage): boolean {
+/** Returns whether the body of a call may exceed {@linkcode SHORT_BODY_BYTES}. */
+function mayHaveLongBody({ headers }: IncomingMessage): boolean {
   const length = headers["content-length"];
   if (length !== undefined) return Number(length) > SHORT_BODY_BYTES;
   return headers["transfer-encoding"] !== undefined;
@@ -294,15 +306,15 @@
       else chunks.push(chunk);
     });
     message.on("end", () => {
-      const [only] = chunks;
-      if (only === undefined) resolve(NO_BODY);
-      else resolve(chunks.length === 1 ? only : Buffer.concat(chunks));
+      const [firstChunk] = chunks;
+      if (firstChunk === undefined) resolve(NO_BODY);
+      else resolve(chunks.length === 1 ? firstChunk : Buffer.concat(chunks));
     });
     message.on("close", () => resolve("broken"));
   });
 }
 
-/** Answers bytes that are no request; nothing of them was passed on. */
+/** Answers bytes that are not a valid request; none of them were forwarded. */
 function refuseMalformed(error: NodeJS.ErrnoException, socket: Duplex): void {
   const { head, body } = toRefusalAnswer(toParserRefusal(error));
   const lines = head.headers.flatMap((name, at) =>
--- a/adapters/connection_errors.ts
+++ b/adapters/connection_errors.ts
@@ -1,4 +1,4 @@
-/** Errors before any byte of a request went out. */
+/** Codes of errors that occur before any byte of a request is sent. */
 const NOT_SENT_CODES: readonly string[] = [
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -6,7 +6,7 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ];
 
-/** Errors of a connection that the other side ended while a request was there. */
+/** Codes of errors that occur when the other side closes the connection during a request. */
 const CLOSED_CODES: readonly string[] = [
   "UND_ERR_SOCKET",
   "ECONNRESET",
@@ -14,21 +14,21 @@
 ];
 
 /**
- * Whether the other side ended the connection.
+ * Returns whether a request failed because the other side closed the connection.
  *
- * @param error What a client threw.
+ * @param error Error that an HTTP client threw.
  */
-export function isClosed(error: unknown): boolean {
+export function isConnectionClosedError(error: unknown): boolean {
   const { code } = error as NodeJS.ErrnoException;
   return code !== undefined && CLOSED_CODES.includes(code);
 }
 
 /**
- * Whether a request failed before any byte of it went out.
+ * Returns whether a request failed before any byte of it was sent.
  *
- * @param error What a client threw.
+ * @param error Error that an HTTP client threw.
  */
-export function isNotSent(error: unknown): boolean {
+export function isNotSentError(error: unknown): boolean {
   const { code } = error as NodeJS.ErrnoException;
   return code !== undefined && NOT_SENT_CODES.includes(code);
 }
--- a/adapters/connection_pool.ts
+++ b/adapters/connection_pool.ts
@@ -8,52 +8,72 @@
   type SendRequest,
   type ServerClient,
 } from "../forwarding/mod.ts";
-import { isClosed, isNotSent } from "./connection_errors.ts";
+import {
+  isConnectionClosedError,
+  isNotSentError,
+} from "./connection_errors.ts";
 import { systemClock } from "./system_clock.ts";
 
-/** Longest time to open a connection, in milliseconds: several round trips between regions. */
+/** Maximum time to open a connection, in milliseconds: several round trips between regions. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** How long an idle connection is kept where the server does not say, in milliseconds. */
-const IDLE_MS = 4_000;
-/** Taken off the time that a server says, in milliseconds: the way there and late timers. */
+/** Time for which an idle connection is kept if the server advertises none, in milliseconds. */
+const IDLE_TIMEOUT_MS = 4_000;
+/**
+ * Time subtracted from the idle timeout that a server advertises, in milliseconds. It
+ * allows for the network latency to the server and for late timers.
+ */
 const IDLE_MARGIN_MS = 600;
-/** Idle connections after which the operating system probes the other side, in milliseconds. */
+/** Idle time after which the operating system sends TCP keep-alive probes, in milliseconds. */
 const PROBE_AFTER_MS = 1_000;
 
 /**
- * Silence of a kept connection, in milliseconds, after which a send that is given
- * up speaks against the other idle ones as well: connections can go silent without
- * a reset. Below the half of an objective of a second, when sends are first given up.
+ * Minimum silence of a reused connection, in milliseconds, after which an abandoned
+ * send also closes the idle connections that may be silent too: connections can
+ * go silent without a reset. The value is below half of a latency objective of one
+ * second, which is when sends are first abandoned.
  */
 const SILENCE_MS = 400;
 
 interface Connection {
   readonly client: Client;
   socket: Socket | undefined;
-  /** When the last byte of an answer came, on the own clock; `undefined`: none has. */
+  /**
+   * Time of the last byte of an answer, in milliseconds on this instance's clock;
+   * `undefined` before the first one.
+   */
   answeredMs: number | undefined;
 }
 
-/** Optional parts of a pool. */
+/** Options of a {@linkcode ConnectionPool}. */
 export interface ConnectionPoolOptions {
-  /** Silence that speaks against idle connections, in milliseconds. Default: 400. */
+  /**
+   * Minimum silence after which an abandoned send closes silent idle connections, in
+   * milliseconds. Default: 400.
+   */
   readonly silenceMs?: number;
 }
 
 /**
- * Kept connections, one call at a time on each. Each is an undici client of its
- * own, so that the socket of an answer is known: undici takes an answer without
- * a length as whole when its connection is reset, and callers must not.
+ * Pool of reusable connections, each with one call at a time. Each connection is an
+ * undici client of its own, so that the socket of an answer is known: undici accepts
+ * an answer without a length as complete when its connection is reset, and callers
+ * must not.
  */
 export class ConnectionPool implements ServerClient {
   readonly #hosts = new Map<string, HostConnections>();
   readonly #silenceMs: number;
 
-  /** @param options Bounds. */
+  /** @param options Silence after which idle connections are closed. */
   constructor(options: ConnectionPoolOptions = {}) {
     this.#silenceMs = options.silenceMs ?? SILENCE_MS;
   }
 
+  /**
+   * Sends a call over a free connection, or over a new one if none is free.
+   *
+   * @param request Address and content of the call.
+   * @param events Callbacks for the answer or the failure.
+   */
   send(request: SendRequest, events: SendEvents): ActiveSend {
     const { address, maxConnections } = request;
     let host = this.#hosts.get(address);
@@ -64,10 +84,15 @@
     return host.send(request, events, maxConnections);
   }
 
-  /** Closes the connections to addresses that are of no use any more. */
+  /**
+   * Closes the connections to addresses that are not needed any more. Those of an
+   * address with an active call are kept.
+   *
+   * @param addresses Addresses whose connections are kept.
+   */
   keepOnly(addresses: ReadonlySet<string>): void {
     this.#hosts.forEach((host, address) => {
-      if (addresses.has(address) || host.busy > 0) return;
+      if (addresses.has(address) || host.busyCount > 0) return;
       host.destroy();
       this.#hosts.delete(address);
     });
@@ -81,10 +106,10 @@
 }
 
 class HostConnections {
-  busy = 0;
+  busyCount = 0;
   readonly #address: string;
   readonly #silenceMs: number;
-  /** Free connections, the one used last at the end: it is the least likely to be closed. */
+  /** Free connections; the last one was used last and is the least likely to be closed. */
   readonly #free: Connection[] = [];
 
   constructor(address: string, silenceMs: number) {
@@ -97,7 +122,7 @@
     events: SendEvents,
     maxConnections: number,
   ): ActiveSend {
-    if (this.busy >= maxConnections) {
+    if (this.busyCount >= maxConnections) {
       events.onFailure({
         kind: "not-sent",
         message: `All ${maxConnections} connections are in use`,
@@ -105,11 +130,11 @@
       return { resume: () => {}, abort: () => {} };
     }
     const connection = this.#free.pop() ?? this.#open();
-    this.busy++;
+    this.busyCount++;
     const startMs = systemClock.nowMs();
     const wasKept = connection.answeredMs !== undefined;
     const send = new Send(connection, events, (isReusable) => {
-      this.busy--;
+      this.busyCount--;
       if (isReusable) {
         this.#free.push(connection);
         return;
@@ -117,7 +142,7 @@
       destroyQuietly(connection);
       const wasSilent = (connection.answeredMs ?? 0) < startMs &&
         systemClock.nowMs() - startMs >= this.#silenceMs;
-      if (wasKept && wasSilent) this.#dropUnheard(startMs);
+      if (wasKept && wasSilent) this.#closeSilent(startMs);
     });
     send.start(request);
     return send;
@@ -127,17 +152,17 @@
     this.#free.splice(0).forEach(destroyQuietly);
   }
 
-  /** Closes idle connections on which nothing came since a time: they may be as silent. */
-  #dropUnheard(sinceMs: number): void {
-    const isUnheard = ({ answeredMs }: Connection) =>
+  /** Closes the idle connections that received nothing since a time: they may be silent too. */
+  #closeSilent(sinceMs: number): void {
+    const isSilent = ({ answeredMs }: Connection) =>
       (answeredMs ?? 0) < sinceMs;
-    const unheard = this.#free.filter(isUnheard);
+    const silent = this.#free.filter(isSilent);
     this.#free.splice(
       0,
       Infinity,
-      ...this.#free.filter((each) => !isUnheard(each)),
+      ...this.#free.filter((each) => !isSilent(each)),
     );
-    unheard.forEach(destroyQuietly);
+    silent.forEach(destroyQuietly);
   }
 
   #open(): Connection {
@@ -147,14 +172,14 @@
       answeredMs: undefined,
       client: new Client(`http://${this.#address}`, {
         pipelining: 1,
-        keepAliveTimeout: IDLE_MS,
+        keepAliveTimeout: IDLE_TIMEOUT_MS,
         keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-        // The forwarder bounds the time of calls; silence of a server is no failure.
+        // The forwarder limits the time of calls; silence of a server isn't a failure.
         headersTimeout: 0,
         bodyTimeout: 0,
         connect: (options, callback) => {
           connect(options, (...result) => {
-            // Its types say null for a failure; it passes one argument.
+            // On failure, the types declare null; at run time the argument is missing.
             const socket: Socket | null | undefined = result[1];
             if (socket) {
               connection.socket = socket;
@@ -166,7 +191,7 @@
         },
       }),
     };
-    // A closed idle connection leaves the pool; its client would open another.
+    // A closed idle connection is removed: its client would open another one.
     connection.client.on("disconnect", () => {
       const at = this.#free.indexOf(connection);
       if (at < 0) return;
@@ -178,7 +203,7 @@
 }
 
 function destroyQuietly({ client }: Connection): void {
-  client.destroy().catch(() => {/* it is closed either way */});
+  client.destroy().catch(() => {/* the connection is closed either way */});
 }
 
 class Send implements ActiveSend, Dispatcher.DispatchHandler {
@@ -189,7 +214,7 @@
   #resume = () => {};
   #isDone = false;
   #isSent = false;
-  /** Whether the answer has neither length nor chunks. */
+  /** Whether the answer has neither a length nor chunks, so that the connection's end ends it. */
   #endsWithConnection = false;
 
   constructor(
@@ -210,7 +235,7 @@
         path: target,
         headers,
         body: body.length > 0 ? body : null,
-        // A second request behind an unanswered one could get its answer.
+        // A request pipelined behind an unanswered one could receive the wrong answer.
         blocking: true,
         idempotent: false,
       }, this);
@@ -246,7 +271,8 @@
     statusText: string,
   ): boolean {
     this.#connection.answeredMs = systemClock.nowMs();
-    // Interim answers (1xx) concern only the connection: the body has been sent.
+    // Interim answers (1xx) are ignored: they concern only the connection, and the
+    // body has been sent already.
     if (status < 200 || this.#isDone) return true;
     this.#resume = resume;
     const headers = rawHeaders.map((text) => text.toString("latin1"));
@@ -298,18 +324,18 @@
   }
 
   #toFailureKind(error: Error): SendFailure["kind"] {
-    if (!this.#isSent || isNotSent(error)) return "not-sent";
-    return isClosed(error) ? "closed" : "unknown";
+    if (!this.#isSent || isNotSentError(error)) return "not-sent";
+    return isConnectionClosedError(error) ? "closed" : "unknown";
   }
 }
 
 /**
- * Whether the other side has reset a connection that is reported as ended.
+ * Returns whether the other side has reset a connection that is reported as ended.
  *
- * Where data and reset are noticed in one turn, libuv reports an end and no
- * error (its short cut for a hang-up after a partial read). The operating system
- * still knows: a connection that was reset has no remote address any more. Node
- * keeps the first one that is asked for, so it is asked for here only.
+ * If data and a reset arrive within one event loop iteration, libuv reports an end and
+ * no error (its shortcut for a hang-up after a partial read). The operating system
+ * still reports the reset: a connection that was reset has no remote address. Node
+ * caches the remote address on its first read, so it is read only here.
  */
 function hasBeenReset(socket: Socket | undefined): boolean {
   if (socket === undefined || socket.errored) return true;
--- a/adapters/connection_pool_test.ts
+++ b/adapters/connection_pool_test.ts
@@ -6,7 +6,7 @@
 
 const ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/** Sends one call; `ended` resolves with how it ended. */
+/** Sends one call; `ended` resolves with "answered" or with the message of the failure. */
 function send(pool: ConnectionPool, address: string) {
   let finish: (outcome: string) => void;
   let kind: string | undefined;
@@ -32,15 +32,15 @@
   return { active, ended, failure: () => kind };
 }
 
-function awaitTurn(ms: number): Promise<void> {
+function wait(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Says how a send ends at a server that behaves so. */
+/** Returns the kind of failure of a send to a server with a given behavior. */
 async function readFailure(
-  act: (socket: Socket) => void,
+  behave: (socket: Socket) => void,
 ): Promise<string | undefined> {
-  const server = await startRawServer((_, socket) => act(socket));
+  const server = await startRawServer((_, socket) => behave(socket));
   const pool = new ConnectionPool();
   const { ended, failure } = send(pool, server.address);
   await ended;
@@ -51,26 +51,26 @@
 
 describe("ConnectionPool", () => {
   describe("when a send fails", () => {
-    it("tells a connection that the server ended from other faults", async () => {
+    it("reports `closed` only if the server closed the connection", async () => {
       const half = ANSWER.slice(0, -1);
-      const seen = await Promise.all([
+      const kinds = await Promise.all([
         (socket: Socket) => socket.destroy(),
         (socket: Socket) => socket.resetAndDestroy(),
         (socket: Socket) => socket.end(half),
         (socket: Socket) => socket.end("no answer in any protocol\r\n\r\n"),
       ].map(readFailure));
-      assert.deepEqual(seen, ["closed", "closed", "closed", "unknown"]);
+      assert.deepEqual(kinds, ["closed", "closed", "closed", "unknown"]);
     });
   });
 
   describe("when kept connections go silent without a reset", () => {
-    it("opens new ones once a silent send was given up", async () => {
-      const mute = new Set<unknown>();
+    it("opens a new one after a silent send was aborted", async () => {
+      const silentSockets = new Set<unknown>();
       const waiting: (() => void)[] = [];
       const server = await startRawServer((_, socket) => {
-        if (mute.has(socket)) return;
+        if (silentSockets.has(socket)) return;
         waiting.push(() => socket.write(ANSWER));
-        // The first three are answered together, so that three connections are kept.
+        // The first three calls are answered together, so that three connections are kept.
         if (waiting.length >= 3) waiting.forEach((answer) => answer());
       });
       const pool = new ConnectionPool({ silenceMs: 20 });
@@ -80,9 +80,9 @@
         ["answered", "answered", "answered"],
       );
       assert.equal(server.sockets.length, 3);
-      server.sockets.forEach((socket) => mute.add(socket));
+      server.sockets.forEach((socket) => silentSockets.add(socket));
       const silent = send(pool, server.address);
-      await awaitTurn(60);
+      await wait(60);
       silent.active.abort();
       const next = send(pool, server.address);
       assert.equal(await next.ended, "answered");
@@ -91,18 +91,18 @@
       server.close();
     });
 
-    it("keeps the others where the send was given up at once", async () => {
-      let isMute = false;
+    it("keeps the others if the send was aborted at once", async () => {
+      let isSilent = false;
       const server = await startRawServer((_, socket) => {
-        if (!isMute) socket.write(ANSWER);
+        if (!isSilent) socket.write(ANSWER);
       });
       const pool = new ConnectionPool({ silenceMs: 60_000 });
       const first = [1, 2].map(() => send(pool, server.address));
       await Promise.all(first.map(({ ended }) => ended));
       const opened = server.sockets.length;
-      isMute = true;
+      isSilent = true;
       send(pool, server.address).active.abort();
-      isMute = false;
+      isSilent = false;
       assert.equal(await send(pool, server.address).ended, "answered");
       assert.equal(server.sockets.length, opened);
       pool.close();
--- a/adapters/etcd_store.ts
+++ b/adapters/etcd_store.ts
@@ -1,4 +1,4 @@
-import { isNotSent } from "./connection_errors.ts";
+import { isNotSentError } from "./connection_errors.ts";
 import { err, ok, type Result } from "neverthrow";
 import { Agent, request } from "undici";
 import {
@@ -31,8 +31,8 @@
 const CONNECT_TIMEOUT_MS = 1_000;
 
 /**
- * The platform's key-value service by the JSON form of etcd's v3 API. Only
- * single-key compare-and-swap, reads, leases and watches are used.
+ * Client of the platform's key-value service, over the JSON form of etcd's v3 API.
+ * It uses only single-key compare-and-swap, reads, leases and watches.
  */
 export class EtcdStore implements Store {
   readonly #baseUrl: string;
@@ -42,7 +42,7 @@
     keepAliveTimeout: 60_000,
   });
 
-  /** @param baseUrl Such as `http://127.0.0.1:2379`. */
+  /** @param baseUrl Base URL of the service, such as `http://127.0.0.1:2379`. */
   constructor(baseUrl: string) {
     this.#baseUrl = baseUrl;
   }
@@ -87,7 +87,7 @@
           lease: swap.leaseId ?? "0",
         },
       };
-    const answer = await this.#post<TxnAnswer>("/v3/kv/txn", {
+    const answer = await this.#post<TransactionAnswer>("/v3/kv/txn", {
       compare: [{
         key,
         target: "MOD",
@@ -153,7 +153,7 @@
         yield* lines.filter((line) => line !== "").flatMap(parseWatchLine);
       }
     } catch {
-      // A watch that breaks ends; the watcher reads afresh.
+      // A failed watch ends without an error: its watcher reads the prefix again.
     }
   }
 
@@ -184,14 +184,14 @@
     } catch (error) {
       const { message } = error as Error;
       return err({
-        kind: isNotSent(error) ? "unavailable" : "unknown",
+        kind: isNotSentError(error) ? "unavailable" : "unknown",
         message,
       });
     }
   }
 }
 
-interface TxnAnswer {
+interface TransactionAnswer {
   readonly succeeded?: boolean;
   readonly header?: { readonly revision?: string };
 }
@@ -200,7 +200,7 @@
   return Buffer.from(text, "utf8").toString("base64");
 }
 
-/** The first key after all keys with a prefix. */
+/** Returns the first key after all keys with a prefix, in base64. */
 function encodeRangeEnd(prefix: string): string {
   const bytes = Buffer.from(prefix, "utf8");
   bytes[bytes.length - 1]! += 1;
--- a/adapters/http_backend_client.ts
+++ b/adapters/http_backend_client.ts
@@ -1,4 +1,7 @@
-import { isClosed, isNotSent } from "./connection_errors.ts";
+import {
+  isConnectionClosedError,
+  isNotSentError,
+} from "./connection_errors.ts";
 import { createParser } from "eventsource-parser";
 import { err, ok, type Result } from "neverthrow";
 import { Agent, type Dispatcher, request } from "undici";
@@ -17,28 +20,30 @@
 import type { AttemptId } from "../ids/mod.ts";
 import type { BackendServer } from "../resources/mod.ts";
 
-/** Optional parts of the client. */
+/** Options of an {@linkcode HttpBackendClient}. */
 export interface HttpBackendOptions {
-  /** Certificates to trust, in PEM. Default: those of the platform. */
+  /** Certificates of trusted authorities, as PEM text. Default: those of the platform. */
   readonly authorities?: string;
 }
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const CALL_TIMEOUT_MS = 1_000;
 const ORDER_TIMEOUT_MS = 5_000;
+/** Status by which an engine rejects an order with an outdated fencing token. */
 const FENCED_STATUS = 412;
-const HOP_HEADERS = [
+/** Headers that concern one connection only, and are not passed on to the caller. */
+const HOP_BY_HOP_HEADERS = [
   "connection",
   "keep-alive",
   "transfer-encoding",
   "content-length",
 ];
 
-/** Speaks to backend servers over HTTP, with streams as server-sent events. */
+/** Calls backend servers over HTTP, and reads streams as server-sent events. */
 export class HttpBackendClient implements BackendClient {
   readonly #agent: Agent;
 
-  /** @param options Trusted certificates. */
+  /** @param options Certificates of trusted authorities. */
   constructor(options: HttpBackendOptions = {}) {
     this.#agent = new Agent({
       connect: {
@@ -117,10 +122,16 @@
     }
     const status = answer.value.kind === "whole" ? answer.value.status : 200;
     if (status === FENCED_STATUS) {
-      return err({ kind: "fenced", message: "An old fencing token" });
+      return err({
+        kind: "fenced",
+        message: "Engine rejected the order: old fencing token",
+      });
     }
     if (status >= 300) {
-      return err({ kind: "unreachable", message: `Got status ${status}` });
+      return err({
+        kind: "unreachable",
+        message: `Cannot order the engine: got status ${status}`,
+      });
     }
     return ok(undefined);
   }
@@ -147,7 +158,7 @@
         ...options,
         dispatcher: this.#agent,
       });
-      const headers = toHeaders(response.headers);
+      const headers = joinHeaderValues(response.headers);
       const load = parseLoad(headers["x-engine-load"]);
       const isStream =
         headers["content-type"]?.startsWith("text/event-stream") ?? false;
@@ -167,7 +178,7 @@
       return ok({
         kind: "whole",
         status: response.statusCode,
-        headers: keepHeaders(headers),
+        headers: removeHopByHopHeaders(headers),
         body,
         load,
       });
@@ -209,21 +220,21 @@
 }
 
 /**
- * Reads the events of a stream. After its terminal event the rest of the body is
- * read to its end, so that the connection can be used again; a stream that is
- * given up before is closed.
+ * Yields the events of a stream. After its terminal event, the rest of the body is
+ * read to its end, so that the connection can be reused. A stream that is abandoned
+ * earlier is closed.
  */
 async function* readEvents(
   body: Dispatcher.ResponseData["body"],
 ): AsyncGenerator<StreamEvent> {
-  const ready: StreamEvent[] = [];
+  const parsedEvents: StreamEvent[] = [];
   let hasEnded = false;
   const parser = createParser({
     onEvent: ({ id, data }) => {
       const at = id?.lastIndexOf("/") ?? -1;
       if (id === undefined || at < 0) return;
       if (data === END_OF_STREAM) hasEnded = true;
-      ready.push({
+      parsedEvents.push({
         attempt: id.slice(0, at),
         index: Number(id.slice(at + 1)),
         data,
@@ -234,7 +245,7 @@
   try {
     for await (const chunk of body.iterator({ destroyOnReturn: false })) {
       parser.feed(decoder.decode(chunk as Buffer, { stream: true }));
-      yield* ready.splice(0);
+      yield* parsedEvents.splice(0);
     }
   } finally {
     if (!body.destroyed) {
@@ -244,7 +255,7 @@
   }
 }
 
-function toHeaders(
+function joinHeaderValues(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
   return Object.fromEntries(
@@ -256,11 +267,13 @@
   );
 }
 
-function keepHeaders(
+function removeHopByHopHeaders(
   headers: Readonly<Record<string, string>>,
 ): Record<string, string> {
   return Object.fromEntries(
-    Object.entries(headers).filter(([name]) => !HOP_HEADERS.includes(name)),
+    Object.entries(headers).filter(([name]) =>
+      !HOP_BY_HOP_HEADERS.includes(name)
+    ),
   );
 }
 
@@ -268,8 +281,10 @@
   const [running, queued, queuedTokens, lagMs] = (text ?? "").split(",").map(
     Number,
   );
-  const isWhole = [running, queued, queuedTokens, lagMs].every(Number.isFinite);
-  if (text === undefined || !isWhole) return undefined;
+  const isComplete = [running, queued, queuedTokens, lagMs].every(
+    Number.isFinite,
+  );
+  if (text === undefined || !isComplete) return undefined;
   return {
     running: running!,
     queued: queued!,
@@ -280,7 +295,7 @@
 
 function toFailure(error: unknown): DispatchFailure {
   const message = (error as Error).message || String(error);
-  return isNotSent(error)
+  return isNotSentError(error)
     ? { kind: "not-sent", message }
-    : { kind: "broken", message, isClosed: isClosed(error) };
+    : { kind: "broken", message, isClosed: isConnectionClosedError(error) };
 }
--- a/adapters/http_listener.ts
+++ b/adapters/http_listener.ts
@@ -12,7 +12,7 @@
 import { once, setMaxListeners } from "node:events";
 import { err, ok, type Result } from "neverthrow";
 import { scheduleEvery } from "../clock/mod.ts";
-import { ACCEPT_BACKLOG, NewConnections } from "./new_connections.ts";
+import { ACCEPT_BACKLOG, DisconnectDetector } from "./new_connections.ts";
 import { systemClock } from "./system_clock.ts";
 import type { GatewayRequest, Reply } from "../filters/mod.ts";
 import {
@@ -22,47 +22,54 @@
   toErrorBody,
 } from "../results/mod.ts";
 
-/** Bounds of a listener. */
+/** Limits of a {@linkcode Listener}. */
 export interface ListenerLimits {
   readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
+  /** Maximum time for the headers to arrive, and for the body to arrive once it is read. */
   readonly bodyTimeoutMs: number;
+  /** Maximum time for which an idle connection is kept open. */
   readonly idleTimeoutMs: number;
 }
 
-/** Certificates of a listener, in PEM. */
+/** Certificate, private key and certificate authorities of a listener, as PEM texts. */
 export interface TlsFiles {
   readonly cert: string;
   readonly key: string;
   readonly ca?: string;
 }
 
-/** What a listener is created from. */
+/** Address, limits and handler of a {@linkcode Listener}. */
 export interface ListenerParts {
-  /** IP address and port; port 0 picks a free one. */
+  /** IP address and port; port 0 selects a free one. */
   readonly address: string;
   readonly limits: ListenerLimits;
   /** Serves one request. */
   readonly handle: (request: GatewayRequest) => Promise<Reply>;
-  /** Without it the listener speaks plain HTTP. */
+  /** Certificates for HTTPS. Default: the listener serves plain HTTP. */
   readonly tls?: TlsFiles | undefined;
 }
 
-/** A listener that accepts requests. */
+/** HTTP or HTTPS listener that accepts requests. */
 export interface Listener {
   readonly port: number;
-  /** Puts new certificates in force for new connections; open ones go on. */
+  /** Sets the certificates for new connections; open connections are not affected. */
   setTls(files: TlsFiles): void;
-  /** Accepts no more, and resolves when all connections are closed. */
+  /**
+   * Accepts no more connections, and resolves when all are closed. Connections that are
+   * still active after 2 seconds are closed by force.
+   */
   close(): Promise<void>;
   /** Closes all connections at once. */
   destroy(): Promise<void>;
 }
 
-const CLOSE_CHECK_MS = 20;
-const CLOSE_PATIENCE_MS = 2_000;
+/** Interval between attempts to close idle connections during a close, in milliseconds. */
+const CLOSE_CHECK_INTERVAL_MS = 20;
+/** Time after which a close ends the connections that are still active, in milliseconds. */
+const CLOSE_TIMEOUT_MS = 2_000;
 
-/** Default bounds. */
+/** Default limits of a {@linkcode Listener}. */
 export const DEFAULT_LISTENER_LIMITS: ListenerLimits = {
   maxBodyBytes: 1_048_576,
   maxHeaderBytes: 16_384,
@@ -71,17 +78,17 @@
 };
 
 /**
- * Starts an HTTP listener.
+ * Starts an HTTP or HTTPS listener.
  *
- * @param parts Address, bounds and handler.
+ * @param parts Address, limits and handler.
  */
 export async function startListener(parts: ListenerParts): Promise<Listener> {
-  const newConnections = new NewConnections();
+  const disconnectDetector = new DisconnectDetector();
   const onRequest = async (
     message: IncomingMessage,
     response: ServerResponse,
   ) => {
-    if (await newConnections.isCallerThere(message.socket)) {
+    if (await disconnectDetector.isConnected(message.socket)) {
       await serveMessage(parts, message, response);
     }
   };
@@ -94,7 +101,7 @@
   const server: Server | TlsServer = parts.tls === undefined
     ? createPlainServer(options, onRequest)
     : createTlsServer({ ...options, ...parts.tls }, onRequest);
-  server.on("clientError", refuseClient);
+  server.on("clientError", refuseInvalidRequest);
   const at = parts.address.lastIndexOf(":");
   const host = parts.address.slice(0, at).replace(/^\[|\]$/g, "");
   server.listen({
@@ -113,21 +120,22 @@
         server.close(() => resolve())
       );
       server.closeIdleConnections();
-      // What is still open is being written to: it gets time, but not for ever.
-      const ended = new AbortController();
+      // Connections that are still open have an answer in progress: they get a bounded
+      // time to complete it.
+      const closing = new AbortController();
       scheduleEvery(
         systemClock,
-        CLOSE_CHECK_MS,
+        CLOSE_CHECK_INTERVAL_MS,
         () => server.closeIdleConnections(),
-        ended.signal,
+        closing.signal,
       );
       systemClock.schedule(
-        CLOSE_PATIENCE_MS,
+        CLOSE_TIMEOUT_MS,
         () => server.closeAllConnections(),
-        ended.signal,
+        closing.signal,
       );
       await closed;
-      ended.abort("closed");
+      closing.abort("closed");
     },
     destroy: async () => {
       const closed = new Promise<void>((resolve) =>
@@ -144,21 +152,23 @@
   message: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const gone = new AbortController();
-  setMaxListeners(0, gone.signal);
+  const disconnect = new AbortController();
+  setMaxListeners(0, disconnect.signal);
   response.on("close", () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnect.abort();
   });
-  const reply = await parts.handle(toRequest(parts, message, gone.signal));
+  const reply = await parts.handle(
+    toRequest(parts, message, disconnect.signal),
+  );
   if (response.destroyed) {
-    if (reply.kind === "events") await endUnread(reply.events);
+    if (reply.kind === "events") await closeUnreadStream(reply.events);
     return;
   }
   if (reply.kind === "whole") {
     const body = typeof reply.body === "string"
       ? Buffer.from(reply.body)
       : reply.body;
-    // A body that was not read leaves the connection in an unknown state.
+    // After an unread body, the start of the next request on the connection is unknown.
     const isUnread = !message.complete;
     response.writeHead(reply.status, {
       ...reply.headers,
@@ -172,10 +182,12 @@
 }
 
 /**
- * Ends a stream whose caller went away before its first event. It is begun and
- * then left: a generator that was never begun would not run its clean-up.
+ * Closes a stream whose caller disconnected before the first event. The stream is
+ * started first: a generator that never started would not run its `finally` blocks.
  */
-async function endUnread(events: AsyncIterable<unknown>): Promise<void> {
+async function closeUnreadStream(
+  events: AsyncIterable<unknown>,
+): Promise<void> {
   for await (const _ of events) break;
 }
 
@@ -192,13 +204,13 @@
   for await (const event of reply.events) {
     if (response.destroyed) break;
     const id = event.id === undefined ? "" : `id: ${event.id}\n`;
-    const isRoomLeft = response.write(`${id}data: ${event.data}\n\n`);
-    if (!isRoomLeft) await waitForDrain(response);
+    const canWriteMore = response.write(`${id}data: ${event.data}\n\n`);
+    if (!canWriteMore) await waitForDrain(response);
   }
   response.end();
 }
 
-/** A slow reader holds back the stream, so that it costs bounded memory. */
+/** Waits until the caller has read more, so that a slow reader uses bounded memory. */
 async function waitForDrain(response: ServerResponse): Promise<void> {
   if (response.destroyed) return;
   await new Promise<void>((resolve) => {
@@ -240,10 +252,10 @@
   limits: ListenerLimits,
   message: IncomingMessage,
 ): Promise<Result<Buffer, Failure>> {
-  const announced = Number(message.headers["content-length"] ?? "0");
-  if (announced > limits.maxBodyBytes) return err(createTooLarge(limits));
+  const declaredBytes = Number(message.headers["content-length"] ?? "0");
+  if (declaredBytes > limits.maxBodyBytes) return err(createTooLarge(limits));
   const chunks: Buffer[] = [];
-  let size = 0;
+  let receivedBytes = 0;
   let isLate = false;
   const read = new AbortController();
   systemClock.schedule(limits.bodyTimeoutMs, () => {
@@ -253,8 +265,8 @@
   try {
     return await new Promise((resolve) => {
       message.on("data", (chunk: Buffer) => {
-        size += chunk.length;
-        if (size <= limits.maxBodyBytes) chunks.push(chunk);
+        receivedBytes += chunk.length;
+        if (receivedBytes <= limits.maxBodyBytes) chunks.push(chunk);
         else {
           message.pause();
           resolve(err(createTooLarge(limits)));
@@ -289,7 +301,7 @@
   );
 }
 
-function refuseClient(
+function refuseInvalidRequest(
   error: NodeJS.ErrnoException,
   socket: import("node:stream").Duplex,
 ): void {
@@ -297,14 +309,14 @@
     socket.destroy();
     return;
   }
-  const isTooLong = error.code === "HPE_HEADER_OVERFLOW";
-  const message = isTooLong
+  const isHeaderTooLarge = error.code === "HPE_HEADER_OVERFLOW";
+  const message = isHeaderTooLarge
     ? "The headers are over the size limit"
     : "The request is malformed";
   const body = JSON.stringify(
     toErrorBody(createFailure("BAD_REQUEST", message)),
   );
-  const status = isTooLong
+  const status = isHeaderTooLarge
     ? "431 Request Header Fields Too Large"
     : "400 Bad Request";
   const lines = [
--- a/adapters/http_listener_test.ts
+++ b/adapters/http_listener_test.ts
@@ -13,13 +13,13 @@
 } from "./http_listener.ts";
 
 async function createCertificate(name: string): Promise<TlsFiles> {
-  const made = await generate([{ name: "commonName", value: name }], {
+  const certificate = await generate([{ name: "commonName", value: name }], {
     keySize: 2048,
   });
-  return { cert: made.cert, key: made.private };
+  return { cert: certificate.cert, key: certificate.private };
 }
 
-function readWhole(reply: string): Reply {
+function createReply(reply: string): Reply {
   return { kind: "whole", status: 200, headers: {}, body: reply };
 }
 
@@ -28,7 +28,7 @@
   readonly name: string;
 }
 
-function askTls(port: number): Promise<TlsAnswer> {
+function requestOverTls(port: number): Promise<TlsAnswer> {
   return new Promise((resolve, reject) => {
     const request = requestTls({
       host: "127.0.0.1",
@@ -50,9 +50,8 @@
 }
 
 describe("startListener()", () => {
-  describe("when a caller has gone before its connection was accepted", () => {
-    // A process at its limit accepts connections late, one a turn: work for callers
-    // that had gone took the time of those that had not.
+  describe("when a caller disconnected before its connection was accepted", () => {
+    // An overloaded process accepts late: work for disconnected callers delays the others.
     it("does not handle its request", async () => {
       let calls = 0;
       const listener = await startListener({
@@ -60,7 +59,7 @@
         limits: DEFAULT_LISTENER_LIMITS,
         handle: () => {
           calls++;
-          return Promise.resolve(readWhole("done"));
+          return Promise.resolve(createReply("done"));
         },
       });
       const request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
@@ -72,9 +71,9 @@
   });
 
   describe("when certificates are reloaded", () => {
-    it("shows the new one to new connections, and cuts off no request", async () => {
+    it("uses the new one for new connections, and aborts no request", async () => {
       let release = () => {};
-      const held = new Promise<void>((resolve) => (release = resolve));
+      const released = new Promise<void>((resolve) => (release = resolve));
       let isWaiting = () => {};
       const waiting = new Promise<void>((resolve) => (isWaiting = resolve));
       let calls = 0;
@@ -84,16 +83,16 @@
         tls: await createCertificate("first"),
         handle: async () => {
           calls++;
-          if (calls > 1) return readWhole("quick");
+          if (calls > 1) return createReply("quick");
           isWaiting();
-          await held;
-          return readWhole("held");
+          await released;
+          return createReply("held");
         },
       });
-      const slow = askTls(listener.port);
+      const slow = requestOverTls(listener.port);
       await waiting;
       listener.setTls(await createCertificate("second"));
-      assert.deepEqual(await askTls(listener.port), {
+      assert.deepEqual(await requestOverTls(listener.port), {
         text: "quick",
         name: "second",
       });
@@ -104,13 +103,13 @@
   });
 
   describe("when a sender is slow", () => {
-    it("refuses a body that does not arrive in time, and closes", async () => {
+    it("refuses a body that does not arrive in time, and closes the connection", async () => {
       const listener = await startListener({
         address: "127.0.0.1:0",
         limits: { ...DEFAULT_LISTENER_LIMITS, bodyTimeoutMs: 50 },
         handle: async (request: GatewayRequest) => {
           const body = await request.readBody();
-          return readWhole(body.isOk() ? "read" : body.error.name);
+          return createReply(body.isOk() ? "read" : body.error.name);
         },
       });
       const text = await new Promise<string>((resolve) => {
@@ -128,8 +127,8 @@
     });
   });
 
-  describe("when a caller goes away before its stream begins", () => {
-    it("runs the clean-up of the stream", async () => {
+  describe("when a caller disconnects before its stream starts", () => {
+    it("runs the `finally` block of the stream", async () => {
       let isCleaned = false;
       async function* produce() {
         try {
@@ -162,7 +161,7 @@
   });
 
   describe("when a reader is slow", () => {
-    it("holds back the stream: the source is asked for no more than fits", async () => {
+    it("pauses the stream: the source produces no more than the buffers hold", async () => {
       const chunk = "x".repeat(64_000);
       let produced = 0;
       async function* produce() {
@@ -186,7 +185,7 @@
       const socket = connect(listener.port, "127.0.0.1");
       socket.pause();
       socket.write("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
-      // Until the source stands still: what fits into the buffers of both ends.
+      // Waits until the source is paused because the buffers of both ends are full.
       let before = -1;
       while (produced === 0 || produced !== before) {
         before = produced;
--- a/adapters/http_platform.ts
+++ b/adapters/http_platform.ts
@@ -5,9 +5,10 @@
 import type { InstanceRecord } from "../membership/mod.ts";
 import type { Directory, InstanceList, PlatformFailure } from "../peers/mod.ts";
 
-const TIMEOUT_MS = 1_500;
+/** Timeout of a call to the platform, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_500;
 
-const listSchema = z.array(z.object({
+const instanceListSchema = z.array(z.object({
   id: z.string(),
   region: z.string(),
   failure_domain: z.string(),
@@ -16,7 +17,7 @@
   state: z.enum(["live", "leaving"]),
 }));
 
-/** Returns the platform's list of instances, read over HTTP. */
+/** Returns a reader of the platform's list of instances, which is read over HTTP. */
 export function createHttpInstanceList(baseUrl: string): InstanceList {
   return {
     read: async () => {
@@ -24,9 +25,12 @@
         method: "GET",
       });
       if (text.isErr()) return err(text.error);
-      const parsed = listSchema.safeParse(parseJson(text.value));
+      const parsed = instanceListSchema.safeParse(parseJson(text.value));
       if (!parsed.success) {
-        return err({ message: "Cannot read the instance list: wrong shape" });
+        return err({
+          message:
+            "Cannot read the instance list: expected an array of instances",
+        });
       }
       return ok(parsed.data.map((item): InstanceRecord => ({
         id: toInstanceId(item.id),
@@ -40,7 +44,7 @@
   };
 }
 
-/** Returns the platform's directory, written over HTTP. */
+/** Returns a writer of the platform's directory, which is written over HTTP. */
 export function createHttpDirectory(baseUrl: string): Directory {
   return {
     publish: async (region, urls) => {
@@ -63,7 +67,7 @@
   try {
     const response = await request(url, {
       ...options,
-      signal: AbortSignal.timeout(TIMEOUT_MS),
+      signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
     });
     const text = await response.body.text();
     if (response.statusCode === 200) return ok(text);
--- a/adapters/log_writer.ts
+++ b/adapters/log_writer.ts
@@ -1,61 +1,63 @@
 import { write } from "node:fs";
 import type { LogLevel } from "../logs/mod.ts";
 
-/** Pause between writes, in milliseconds: lines go out together. */
+/** Delay before lines are written, in milliseconds, so that several share one write. */
 const FLUSH_INTERVAL_MS = 200;
-/** Bytes that wait to be written at the most. */
-const MAX_WAITING_BYTES = 262_144;
-/** Part of the waiting bytes that lines about no failure may fill. */
-const ORDINARY_PART = 0.5;
-/** Pause before a full pipe is tried again, in milliseconds. */
+/** Maximum size of the lines that wait to be written, in bytes. */
+const MAX_PENDING_BYTES = 262_144;
+/** Fraction of {@linkcode MAX_PENDING_BYTES} that lines below level `warn` may use. */
+const ORDINARY_LINES_FRACTION = 0.5;
+/** Delay before a write to a full pipe is retried, in milliseconds. */
 const FULL_PIPE_PAUSE_MS = 50;
 
 /**
- * Writes lines without ever waiting for whoever reads them. What does not fit
- * is dropped, lines of failures last, and the number of dropped lines is said.
+ * Writes log lines without blocking on their reader. Lines that exceed the bound on
+ * pending bytes are dropped, those of level `warn` and `error` last. The number of
+ * dropped lines is logged.
  */
 export class LogWriter {
   readonly #fileDescriptor: number;
-  #lines: string[] = [];
-  #bytes = 0;
+  #pendingLines: string[] = [];
+  #pendingBytes = 0;
   #dropped = 0;
   #isWriting = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param fileDescriptor Where to write; 1 is the standard output. */
+  /** @param fileDescriptor File descriptor to write to; 1 is the standard output. */
   constructor(fileDescriptor: number) {
     this.#fileDescriptor = fileDescriptor;
   }
 
-  /** Lines dropped so far and not yet said. */
+  /** Number of dropped lines that have not been logged yet. */
   get dropped(): number {
     return this.#dropped;
   }
 
-  /** Takes one line. */
+  /** Queues one line, or drops it if too many bytes are pending. */
   write(line: string, level: LogLevel): void {
     const isFailure = level === "warn" || level === "error";
-    const roomBytes = MAX_WAITING_BYTES * (isFailure ? 1 : ORDINARY_PART);
-    if (this.#bytes + line.length > roomBytes) {
+    const capacityBytes = MAX_PENDING_BYTES *
+      (isFailure ? 1 : ORDINARY_LINES_FRACTION);
+    if (this.#pendingBytes + line.length > capacityBytes) {
       this.#dropped++;
       return;
     }
-    this.#lines.push(line);
-    this.#bytes += line.length + 1;
+    this.#pendingLines.push(line);
+    this.#pendingBytes += line.length + 1;
     this.#timer ??= setTimeout(() => this.#flush(), FLUSH_INTERVAL_MS);
   }
 
-  /** Writes what waits, and resolves when it is out or cannot be written. */
+  /** Writes the pending lines, and resolves when they are written or the write has failed. */
   async close(): Promise<void> {
     clearTimeout(this.#timer);
-    const text = this.#take();
+    const text = this.#takePendingText();
     if (text === "") return;
     await new Promise<void>((resolve) =>
       write(this.#fileDescriptor, text, () => resolve())
     );
   }
 
-  #take(): string {
+  #takePendingText(): string {
     const dropped = this.#dropped === 0 ? [] : [
       JSON.stringify({
         level: "warn",
@@ -63,9 +65,9 @@
         count: this.#dropped,
       }),
     ];
-    const lines = [...this.#lines, ...dropped];
-    this.#lines = [];
-    this.#bytes = 0;
+    const lines = [...this.#pendingLines, ...dropped];
+    this.#pendingLines = [];
+    this.#pendingBytes = 0;
     this.#dropped = 0;
     return lines.length === 0 ? "" : `${lines.join("\n")}\n`;
   }
@@ -73,13 +75,13 @@
   #flush(): void {
     this.#timer = undefined;
     if (this.#isWriting) return;
-    this.#writeAll(Buffer.from(this.#take()));
+    this.#writeAll(Buffer.from(this.#takePendingText()));
   }
 
   #writeAll(bytes: Buffer): void {
     if (bytes.length === 0) {
       this.#isWriting = false;
-      if (this.#lines.length > 0) this.#flush();
+      if (this.#pendingLines.length > 0) this.#flush();
       return;
     }
     this.#isWriting = true;
@@ -89,7 +91,7 @@
         setTimeout(() => this.#writeAll(bytes), FULL_PIPE_PAUSE_MS);
         return;
       }
-      // Nobody reads the log any more: there is no place left to say so.
+      // The log has no reader any more, so this error can't be logged.
       this.#isWriting = false;
     });
   }
--- a/adapters/new_connections.ts
+++ b/adapters/new_connections.ts
@@ -2,34 +2,36 @@
 import { setImmediate } from "node:timers/promises";
 
 /**
- * Connections that wait to be accepted. One is accepted a turn of the loop, of 1 to
- * 5 ms: what waits behind so many would be accepted when its caller has gone. Enough
- * for the callers of another instance that ends, who come together. Callers whose
- * connection finds no place go to another instance.
+ * Maximum number of connections that wait to be accepted. Node accepts one connection
+ * per event loop iteration, and an iteration takes 1 to 5 ms: behind a longer queue, a
+ * caller would have disconnected before its connection is accepted. The queue is long
+ * enough for the callers of another instance that stops, which connect at the same time.
+ * Callers whose connection does not fit into the queue go to another instance.
  */
 export const ACCEPT_BACKLOG = 128;
 
-/** Tells the callers that have gone before their connection was accepted from the others. */
-export class NewConnections {
-  readonly #known = new WeakSet<Socket>();
+/** Detects callers that disconnected before their connection was accepted. */
+export class DisconnectDetector {
+  readonly #seen = new WeakSet<Socket>();
 
   /**
-   * Whether the caller of a request that was read is still there. Connections are
-   * accepted late where many wait: the end of one whose caller has gone meanwhile
-   * comes behind its first request, and is read a turn later.
+   * Returns whether the caller of a request that was read is still connected. With
+   * many connections waiting, one can be accepted after its caller has disconnected.
+   * The end of such a connection follows its first request, and is read one event loop
+   * iteration after that request.
    *
-   * @param socket Over which the request came.
+   * @param socket Connection that the request was read from.
    */
-  async isCallerThere(socket: Socket): Promise<boolean> {
-    const isFirst = !this.#known.has(socket);
-    this.#known.add(socket);
-    if (isFirst) await passTurn();
+  async isConnected(socket: Socket): Promise<boolean> {
+    const isFirst = !this.#seen.has(socket);
+    this.#seen.add(socket);
+    if (isFirst) await waitForNextIteration();
     return socket.readable;
   }
 }
 
-/** Resolves when the loop has read its sockets once more. */
-async function passTurn(): Promise<void> {
+/** Resolves after the event loop has polled its sockets once more. */
+async function waitForNextIteration(): Promise<void> {
   await setImmediate();
   await setImmediate();
 }
--- a/adapters/plain_server.ts
+++ b/adapters/plain_server.ts
@@ -2,44 +2,53 @@
 import type { AddressInfo } from "node:net";
 import findMyWay, { type HTTPMethod } from "find-my-way";
 
-/** A small answer. */
+/** Answer of a {@linkcode PlainRoute}. */
 export interface PlainAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** One call that a server answers. */
+/** Method, path and handler of a call that a {@linkcode PlainServer} answers. */
 export interface PlainRoute {
   readonly method: HTTPMethod;
   readonly path: string;
-  /** @param input Query and body of the call. */
+  /**
+   * Returns the answer to a call.
+   *
+   * @param input Query and body of the call.
+   */
   handle(input: {
     readonly query: URLSearchParams;
     readonly body: string;
   }): PlainAnswer | Promise<PlainAnswer>;
 }
 
-/** What a server is started from. */
+/** Address and routes of a {@linkcode PlainServer}. */
 export interface PlainServerParts {
   readonly host: string;
   readonly port: number;
   readonly routes: readonly PlainRoute[];
 }
 
-/** A server that runs. */
+/** HTTP server that is running. */
 export interface PlainServer {
   readonly port: number;
+  /** Closes the port and all connections. */
   close(): void;
 }
 
-/** Idle time after which a connection is closed, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_MS = 15_000;
-/** Largest body, in bytes: calls here carry a few names. */
+/**
+ * Maximum size of a body, in bytes. Calls to these routes carry only a few names; a
+ * larger body is read as empty.
+ */
 const MAX_BODY_BYTES = 65_536;
 
 /**
- * Starts a server for small calls, such as readiness, directory and metrics.
+ * Starts an HTTP server for calls with small bodies, such as those that read the
+ * readiness, the directory or the metrics.
  *
  * @param parts Address and routes.
  */
--- a/adapters/report_socket.ts
+++ b/adapters/report_socket.ts
@@ -9,12 +9,12 @@
   type SendReportOptions,
 } from "../fleet/mod.ts";
 
-/** Sends and receives reports as datagrams. */
+/** Sends and receives reports as UDP datagrams. */
 export class ReportSocket {
   readonly #address: string;
   readonly #socket: Socket = createSocket("udp4");
 
-  /** @param address Own IP address and port. */
+  /** @param address IP address and port of this instance. */
   constructor(address: string) {
     this.#address = address;
   }
@@ -22,7 +22,7 @@
   /**
    * Opens the socket.
    *
-   * @param receive Takes each report with the address that sent it.
+   * @param receive Callback for each report and the address of its sender.
    */
   async open(
     receive: (report: FleetReport, from: string) => void,
@@ -36,7 +36,10 @@
     await once(this.#socket, "listening");
   }
 
-  /** Sends a report to several addresses; what is lost is made up for by the next. */
+  /**
+   * Sends a report to several addresses. Lost datagrams are not sent again: the next
+   * report replaces them.
+   */
   send(
     report: FleetReport,
     addresses: readonly string[],
@@ -44,15 +47,16 @@
   ): void {
     if (addresses.length === 0) return;
     const body = isCompressed ? compressReport(report) : encodeReport(report);
-    addresses.forEach((address, at) => {
+    addresses.forEach((address, index) => {
       const { host, port } = splitAddress(address);
       const datagram = isCompressed
-        ? [encodeCompressedHead(echoes[at] ?? 0), body]
+        ? [encodeCompressedHead(echoes[index] ?? 0), body]
         : body;
       this.#socket.send(datagram, port, host, ignoreError);
     });
   }
 
+  /** Closes the socket. */
   close(): void {
     this.#socket.close();
   }
@@ -63,5 +67,5 @@
   return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
 }
 
-/** An instance that cannot be reached is noticed by its silence. */
+/** Ignores a failed send: an unreachable instance is detected by its missing reports. */
 function ignoreError(): void {}
--- a/adapters/scraped_metrics.ts
+++ b/adapters/scraped_metrics.ts
@@ -6,9 +6,12 @@
   type MetricTags,
 } from "../metrics/mod.ts";
 
-/** Prefix of all names. */
+/** Prefix of all metric names. */
 const PREFIX = "havenspur_";
-/** Upper bounds of a histogram, in milliseconds: from a plain call to a long prompt that waited. */
+/**
+ * Upper bounds of histogram buckets, in milliseconds. They range from a call of a plain
+ * service to a call with a long prompt that waited for capacity.
+ */
 const TIME_BUCKETS_MS = [
   5,
   10,
@@ -23,41 +26,41 @@
   8_000,
 ];
 
-/** Metrics that a scraper fetches. */
+/** Metrics that a Prometheus scraper fetches. */
 export interface ScrapedMetrics extends Metrics {
-  /** Returns all values in the text format of scrapers. */
+  /** Returns all values in the Prometheus text format. */
   format(): Promise<string>;
 }
 
-/** Returns metrics that are kept here until a scraper fetches them. */
+/** Returns metrics that are kept in memory until a scraper fetches them. */
 export function createScrapedMetrics(): ScrapedMetrics {
   const registry = new Registry();
   const counters = new Map<MetricName, Counter>();
   const gauges = new Map<MetricName, Gauge>();
   const histograms = new Map<MetricName, Histogram>();
-  const toOptions = (name: MetricName) => ({
+  const createOptions = (name: MetricName) => ({
     name: PREFIX + name.replaceAll(".", "_"),
     help: METRICS[name],
     labelNames: readTagNames(METRICS[name]),
     registers: [registry],
   });
-  const counterOf = (name: MetricName) =>
-    getOrAdd(counters, name, () => new Counter(toOptions(name)));
-  const gaugeOf = (name: MetricName) =>
-    getOrAdd(gauges, name, () => new Gauge(toOptions(name)));
-  const histogramOf = (name: MetricName) =>
+  const getCounter = (name: MetricName) =>
+    getOrAdd(counters, name, () => new Counter(createOptions(name)));
+  const getGauge = (name: MetricName) =>
+    getOrAdd(gauges, name, () => new Gauge(createOptions(name)));
+  const getHistogram = (name: MetricName) =>
     getOrAdd(
       histograms,
       name,
-      () => new Histogram({ ...toOptions(name), buckets: TIME_BUCKETS_MS }),
+      () => new Histogram({ ...createOptions(name), buckets: TIME_BUCKETS_MS }),
     );
   return {
     count: (name, by = 1, tags: MetricTags = {}) =>
-      counterOf(name).inc({ ...tags }, by),
+      getCounter(name).inc({ ...tags }, by),
     gauge: (name, value, tags: MetricTags = {}) =>
-      gaugeOf(name).set({ ...tags }, value),
+      getGauge(name).set({ ...tags }, value),
     time: (name, valueMs, tags: MetricTags = {}) =>
-      histogramOf(name).observe({ ...tags }, valueMs),
+      getHistogram(name).observe({ ...tags }, valueMs),
     format: () => registry.metrics(),
   };
 }
@@ -74,7 +77,7 @@
   return value;
 }
 
-/** Reads the names behind `tags:` in the description of a metric. */
+/** Returns the tag names that follow `tags:` in the description of a metric. */
 function readTagNames(description: string): string[] {
   const [, tags] = /tags: ([^;]*)/.exec(description) ?? [];
   return (tags ?? "").replace(/\(.*\)/, "").split(",")
--- a/adapters/scraped_metrics_test.ts
+++ b/adapters/scraped_metrics_test.ts
@@ -3,7 +3,7 @@
 import { createScrapedMetrics } from "./scraped_metrics.ts";
 
 describe("createScrapedMetrics()", () => {
-  it("formats counters, gauges and histograms as scrapers read them", async () => {
+  it("formats counters, gauges and histograms in the Prometheus text format", async () => {
     const metrics = createScrapedMetrics();
     metrics.count("call.count", 2, { service: "app", result: "answered" });
     metrics.gauge("call.in_flight", 3);
--- a/adapters/socket_peer_transport.ts
+++ b/adapters/socket_peer_transport.ts
@@ -1,4 +1,4 @@
-import { isNotSent } from "./connection_errors.ts";
+import { isNotSentError } from "./connection_errors.ts";
 import { createSocket, type Socket } from "node:dgram";
 import { once } from "node:events";
 import { JSONRPCClient, JSONRPCServer } from "json-rpc-2.0";
@@ -18,33 +18,34 @@
   PeerTransport,
 } from "../peers/mod.ts";
 
-/** What a transport is created from. */
+/** Address, token and metrics of a {@linkcode SocketPeerTransport}. */
 export interface SocketPeerParts {
   readonly host: string;
-  /** Port of the listener; heartbeats use the same number over UDP. */
+  /** Port of the HTTP listener; heartbeats use the same port number over UDP. */
   readonly port: number;
+  /** Secret that authenticates heartbeats and calls between instances. */
   readonly token: string;
   readonly metrics: Metrics;
-  /** Certificates to trust, in PEM. Default: those of the platform. */
+  /** Certificates of trusted authorities, as PEM text. Default: those of the platform. */
   readonly authorities?: string | undefined;
 }
 
-/** The path of JSON-RPC between daemons. */
+/** Path of JSON-RPC calls between instances. */
 export const PEER_PATH = "/peer";
-/** Bytes that IP and UDP add to a heartbeat. */
+/** Size of the IP and UDP headers of a heartbeat, in bytes. */
 const UDP_HEADER_BYTES = 28;
 const CALL_TIMEOUT_MS = 1_000;
 
-/** Speaks to other daemons: heartbeats by UDP, calls by JSON-RPC 2.0 over HTTP. */
+/** Sends heartbeats to other instances over UDP, and calls as JSON-RPC 2.0 over HTTP. */
 export class SocketPeerTransport implements PeerTransport {
-  /** Bytes of heartbeats, with the headers of IP and UDP. */
+  /** Bytes of heartbeats that were sent and received, including IP and UDP headers. */
   readonly bytes = { sent: 0, received: 0 };
   readonly #parts: SocketPeerParts;
   readonly #socket: Socket;
   readonly #agent: Agent;
   #callId = 0;
 
-  /** @param parts Address and token. */
+  /** @param parts Address, token and metrics. */
   constructor(parts: SocketPeerParts) {
     this.#parts = parts;
     this.#socket = createSocket(parts.host.includes(":") ? "udp6" : "udp4");
@@ -58,9 +59,9 @@
   }
 
   /**
-   * Opens the socket of heartbeats.
+   * Opens the UDP socket for heartbeats.
    *
-   * @param receive Takes each heartbeat that is genuine.
+   * @param receive Callback for each heartbeat that is authentic.
    */
   async open(receive: (heartbeat: Heartbeat) => void): Promise<void> {
     this.#socket.on("message", (datagram) => {
@@ -119,7 +120,7 @@
       } catch (error) {
         const { message } = error as Error;
         failure = {
-          kind: isNotSent(error) ? "unreachable" : "unknown",
+          kind: isNotSentError(error) ? "unreachable" : "unknown",
           message,
         };
         throw error;
@@ -142,7 +143,7 @@
   }
 }
 
-/** The methods that a daemon offers its peers. */
+/** Function that serves a call of a peer. */
 export type PeerCallHandler = <Method extends PeerMethod>(
   method: Method,
   params: PeerMethods[Method]["params"],
@@ -158,9 +159,10 @@
 ];
 
 /**
- * Returns a function that answers one JSON-RPC request of a peer.
+ * Returns a function that takes the text of a peer's JSON-RPC request and returns the
+ * text of the answer.
  *
- * @param handle The daemon.
+ * @param handle Serves the methods.
  */
 export function createPeerServer(
   handle: PeerCallHandler,
--- a/adapters/state_transfer.ts
+++ b/adapters/state_transfer.ts
@@ -5,37 +5,40 @@
 import type { StorePosition } from "../store/mod.ts";
 import type { PlainRoute } from "./plain_server.ts";
 
-/** Path of JSON-RPC between instances, on the control address. */
+/** Path of JSON-RPC calls between instances, on the control address. */
 const RPC_PATH = "/rpc";
 /** Method that returns a copy of the known state. */
-const READ_METHOD = "state.read";
-/** What `state.read` is called with: up to where the caller knows all. */
-interface ReadParams {
+const READ_STATE_METHOD = "state.read";
+/** Parameters of `state.read`: the position up to which the caller has the whole state. */
+interface ReadStateParams {
   readonly afterRevision: number;
-  /** Instances of earlier versions do not say it. */
+  /** Absent in calls from instances of earlier versions. */
   readonly era?: number;
 }
 
-/** A copy as read: instances of earlier versions know of no eras. */
-type ReadCopy =
+/** Copy as received; instances of earlier versions send no version and no era. */
+type ReceivedCopy =
   & Omit<StateCopy, "configurationVersion" | "era">
   & Partial<StateCopy>;
 
-/** Time for a copy of several hundred routes between regions, in milliseconds. */
+/**
+ * Timeout of a read, in milliseconds. It allows for a copy of several hundred routes
+ * between regions.
+ */
 const READ_TIMEOUT_MS = 2_000;
 
 /**
- * Returns the route by which peers read the state that this instance knows.
+ * Returns the route over which peers read the state that this instance has.
  *
- * @param createCopy Makes the copy of what comes after a position.
+ * @param createCopy Returns a copy of the state after a position.
  */
 export function createStateRoute(
   createCopy: (after: StorePosition) => StateCopy,
 ): PlainRoute {
   const server = new JSONRPCServer();
   server.addMethod(
-    READ_METHOD,
-    ({ afterRevision, era = 0 }: ReadParams) =>
+    READ_STATE_METHOD,
+    ({ afterRevision, era = 0 }: ReadStateParams) =>
       createCopy({ era, revision: afterRevision }),
   );
   return {
@@ -53,10 +56,10 @@
 }
 
 /**
- * Reads the state that a peer knows.
+ * Reads the state that a peer has.
  *
- * @param address IP address and port of its control address.
- * @param after Up to where all is known here.
+ * @param address Control address of the peer: IP address and port.
+ * @param position Position up to which this instance has the whole state.
  */
 export async function readPeerState(
   address: string,
@@ -73,8 +76,11 @@
     client.receive(JSON.parse(await response.body.text()));
   }, () => ++callId);
   try {
-    const params: ReadParams = { afterRevision: revision, era };
-    const copy = await client.request(READ_METHOD, params) as ReadCopy;
+    const params: ReadStateParams = { afterRevision: revision, era };
+    const copy = await client.request(
+      READ_STATE_METHOD,
+      params,
+    ) as ReceivedCopy;
     return ok({ era: 0, configurationVersion: 0, ...copy });
   } catch (error) {
     return err((error as Error).message);
--- a/adapters/statsd_metrics.ts
+++ b/adapters/statsd_metrics.ts
@@ -4,8 +4,8 @@
 /**
  * Returns metrics that are sent to a StatsD server.
  *
- * @param address IP address and port.
- * @param signal Closes the socket.
+ * @param address IP address and port of the server.
+ * @param signal Closes the socket when aborted.
  */
 export function createStatsdMetrics(
   address: string,
--- a/adapters/system_clock.ts
+++ b/adapters/system_clock.ts
@@ -2,10 +2,10 @@
 import { uptime } from "node:os";
 import { type Clock, createRandom, type Random } from "../clock/mod.ts";
 
-/** The only place that reads the clock and the timers of the platform. */
+/** Clock and timers of the platform. No other code reads the platform's clock or timers. */
 export const systemClock: Clock = {
   nowMs: () => performance.timeOrigin + performance.now(),
-  // The steady clock of Node stands still during a suspension; the system's does not.
+  // Node's monotonic clock stops while the machine is suspended; the system's uptime doesn't.
   elapsedMs: () => 1_000 * uptime(),
   schedule: (delayMs, callback, signal) => {
     if (signal?.aborted) return;
@@ -18,7 +18,7 @@
   },
 };
 
-/** Returns a source of random numbers with a seed from the platform. */
+/** Returns a random number generator that is seeded from the platform's entropy. */
 export function createSystemRandom(): Random {
   return createRandom(randomInt(2 ** 31));
 }
--- a/client/caller.ts
+++ b/client/caller.ts
@@ -1,64 +1,72 @@
 import { randomUUID } from "node:crypto";
 import { Agent, request } from "undici";
 import { createParser } from "eventsource-parser";
-import { isNotSent } from "../adapters/connection_errors.ts";
+import { isNotSentError } from "../adapters/connection_errors.ts";
 import { systemClock } from "../adapters/system_clock.ts";
 import { waitFor } from "../clock/mod.ts";
 
-/** What a caller is created from. */
+/** Entries and token of a {@linkcode Caller}. */
 export interface CallerParts {
-  /** Base URLs of some entries, to ask for the others. */
+  /** Base URLs of at least one entry; the caller asks these for all entries. */
   readonly entries: readonly string[];
+  /** Token that authenticates the caller. */
   readonly token: string;
 }
 
-/** Optional parts of a call. */
+/** Options of a call. */
 export interface CallOptions {
   /** HTTP method. Default: `POST`. */
   readonly method?: "GET" | "POST" | "PUT" | "PATCH" | "DELETE";
-  /** Sent as JSON. Default: nothing. */
+  /** Body, sent as JSON. Default: no body. */
   readonly body?: unknown;
   /** `interactive`, `normal` or `batch`. Default: `interactive`. */
   readonly priority?: string;
-  /** Time until the whole answer, retries included, in milliseconds. Default: 60,000. */
+  /** Maximum time until the complete answer, including retries, in milliseconds. Default: 60,000. */
   readonly deadlineMs?: number;
-  /** Marks a call that must run at most once; it gets a key, if none is given. Default: `false`. */
+  /**
+   * Whether the call must run at most once; the caller creates an idempotency key if
+   * none is given. Default: `false`.
+   */
   readonly isNonIdempotent?: boolean;
-  /** Key of the run, reused for every try. Default: a new one where the call needs one. */
+  /** Idempotency key, sent with every try. Default: a new one if the call needs one. */
   readonly idempotencyKey?: string;
-  /** Session whose prefix an engine may hold. Default: none. */
+  /** Session whose prompt prefix an engine may have cached. Default: none. */
   readonly session?: string;
-  /** Ends the call. Default: none. */
+  /** Signal that aborts the call. Default: none. */
   readonly signal?: AbortSignal;
 }
 
-/** How a call ended. */
+/** Outcome of a call. */
 export interface CallAnswer {
   readonly status: number;
-  /** Number of the result code; 0 for an answer. -1: no entry could be reached. */
+  /** Result code; 0 for an answer of the server, -1 if no entry gave an answer. */
   readonly code: number;
-  /** Whether the work ran. */
+  /** Whether the work of the call ran. */
   readonly ran: "not-run" | "ran" | "unknown";
+  /** Body of the answer, or the message of the failure. */
   readonly text: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** Tries that were made. */
+  /** Number of tries that were made. */
   readonly tries: number;
 }
 
-/** One entry of the system. */
+/** Address for callers, and the region of its instance. */
 interface Entry {
   readonly url: string;
   readonly region: string;
 }
 
 const DEFAULT_DEADLINE_MS = 60_000;
-const SHORTEST_PAUSE_MS = 50;
+/** Delay before a retry if the answer names none, in milliseconds. */
+const DEFAULT_RETRY_DELAY_MS = 50;
 const MAX_TRIES = 8;
+/** Result code of an instance that shuts down. */
 const LEAVING_CODE = 1205;
 
 /**
- * Calls the system: asks it which entries to use, moves on from one that leaves
- * or is dead, retries only what a result allows, and reuses its key.
+ * Client of the gateway. It reads the list of entries from the gateway, and switches to
+ * another entry if one is leaving or dead. It retries a call only if the result allows
+ * it, and with the same idempotency key.
  */
 export class Caller {
   readonly #parts: CallerParts;
@@ -77,52 +85,53 @@
   }
 
   /**
-   * Makes a call, and again elsewhere or later where its result allows that.
+   * Makes a call. Retries it at another entry or later if its result allows that.
    *
-   * @param path Such as `/v1/chat/completions` or `/services/NAME/...`.
+   * @param path Path, such as `/v1/chat/completions` or `/services/NAME/...`.
    * @param options Body, priority, deadline and key.
    */
   async call(path: string, options: CallOptions = {}): Promise<CallAnswer> {
     const startMs = performance.now();
     const deadlineMs = options.deadlineMs ?? DEFAULT_DEADLINE_MS;
-    const leftMs = () => deadlineMs - (performance.now() - startMs);
+    const getRemainingMs = () => deadlineMs - (performance.now() - startMs);
     await this.#refreshEntries();
     const key = options.idempotencyKey ??
       (options.isNonIdempotent ? this.#createKey() : undefined);
-    let at = 0;
-    let last = createUnreachable("no try was made", 0);
-    for (let tries = 1; tries <= MAX_TRIES && leftMs() > 0; tries++) {
-      const entry = this.#entries[at % this.#entries.length]!;
+    let entryIndex = 0;
+    let answer = createUnreachableAnswer("No request was sent", 0);
+    for (let tries = 1; tries <= MAX_TRIES && getRemainingMs() > 0; tries++) {
+      const entry = this.#entries[entryIndex % this.#entries.length]!;
       const sent = await this.#send(entry, path, {
         options,
         key,
-        leftMs: leftMs(),
+        remainingMs: getRemainingMs(),
       });
-      last = { ...sent.answer, tries };
-      switch (decideNext(sent, options, key)) {
+      answer = { ...sent.answer, tries };
+      switch (decideNextStep(sent, options, key)) {
         case "end":
-          return last;
+          return answer;
         case "elsewhere":
-          at++;
-          if (last.code === LEAVING_CODE) await this.#refreshEntries(true);
+          entryIndex++;
+          if (answer.code === LEAVING_CODE) await this.#refreshEntries(true);
           break;
         case "later":
           await waitFor(
             systemClock,
-            Math.min(sent.retryAfterMs, Math.max(0, leftMs())),
+            Math.min(sent.retryAfterMs, Math.max(0, getRemainingMs())),
           );
           break;
       }
     }
-    return last;
+    return answer;
   }
 
   /**
-   * Streams an answer; yields the data of each event, `[DONE]` excluded.
+   * Yields the data of each event of a streamed answer, except for `[DONE]`.
    *
-   * @param path Such as `/v1/chat/completions`.
-   * @param options Body and priority; `stream` is set in the body.
-   * @throws {Error} If it was refused, or broke: with the numbered error as its message.
+   * @param path Path, such as `/v1/chat/completions`.
+   * @param options Body and priority; the body is sent with `stream` set to `true`.
+   * @throws {Error} If the call is refused or the stream is interrupted. The message
+   * contains the error with its result code, if the gateway sent one.
    */
   async *stream(
     path: string,
@@ -130,12 +139,14 @@
   ): AsyncGenerator<string> {
     const body = { ...(options.body as Record<string, unknown>), stream: true };
     const answer = await this.#open(path, { ...options, body });
-    const ready: string[] = [];
-    const parser = createParser({ onEvent: ({ data }) => ready.push(data) });
+    const parsedEvents: string[] = [];
+    const parser = createParser({
+      onEvent: ({ data }) => parsedEvents.push(data),
+    });
     const decoder = new TextDecoder();
     for await (const chunk of answer) {
       parser.feed(decoder.decode(chunk as Buffer, { stream: true }));
-      for (const data of ready.splice(0)) {
+      for (const data of parsedEvents.splice(0)) {
         if (data === "[DONE]") return;
         if (data.startsWith('{"error"')) throw new Error(data);
         yield data;
@@ -149,13 +160,16 @@
     await this.#agent.destroy();
   }
 
-  /** A stream may be opened anew until its first byte; from then on the system keeps it whole. */
+  /**
+   * Opens a stream. Tries other entries only until the first byte of an answer: from
+   * then on, the gateway resumes an interrupted stream.
+   */
   async #open(
     path: string,
     options: CallOptions,
   ): Promise<AsyncIterable<unknown>> {
     await this.#refreshEntries();
-    let last = "no try was made";
+    let lastError = "No request was sent";
     for (const entry of this.#entries.slice(0, MAX_TRIES)) {
       try {
         const response = await request(entry.url + path, {
@@ -166,18 +180,18 @@
           ...(options.signal === undefined ? {} : { signal: options.signal }),
         });
         if (response.statusCode === 200) return response.body;
-        last = await response.body.text();
-        const isElsewhere = last.includes('"retry":"elsewhere"') &&
-          last.includes('"ran":"not-run"');
-        if (!isElsewhere) break;
+        lastError = await response.body.text();
+        const canRetryElsewhere = lastError.includes('"retry":"elsewhere"') &&
+          lastError.includes('"ran":"not-run"');
+        if (!canRetryElsewhere) break;
       } catch (error) {
         if (options.signal?.aborted) throw error;
         const { message } = error as Error;
-        last = message;
-        if (!isNotSent(error)) break;
+        lastError = message;
+        if (!isNotSentError(error)) break;
       }
     }
-    throw new Error(last);
+    throw new Error(lastError);
   }
 
   async #send(
@@ -186,20 +200,20 @@
     call: {
       readonly options: CallOptions;
       readonly key: string | undefined;
-      readonly leftMs: number;
+      readonly remainingMs: number;
     },
   ): Promise<SentCall> {
     const { options, key } = call;
     try {
       const response = await request(entry.url + path, {
         method: options.method ?? "POST",
-        headers: this.#createHeaders(options, key, call.leftMs),
+        headers: this.#createHeaders(options, key, call.remainingMs),
         ...(options.body === undefined
           ? {}
           : { body: JSON.stringify(options.body) }),
         dispatcher: this.#agent,
         signal: AbortSignal.any([
-          AbortSignal.timeout(Math.ceil(call.leftMs) + 1_000),
+          AbortSignal.timeout(Math.ceil(call.remainingMs) + 1_000),
           ...(options.signal === undefined ? [] : [options.signal]),
         ]),
       });
@@ -216,19 +230,19 @@
       return {
         answer: { status, code, ran, text, headers, tries: 1 },
         retry: details?.retry ?? "never",
-        retryAfterMs: details?.retry_after_ms ?? SHORTEST_PAUSE_MS,
+        retryAfterMs: details?.retry_after_ms ?? DEFAULT_RETRY_DELAY_MS,
         isSent: true,
       };
     } catch (error) {
       const { message } = error as Error;
-      const isSent = !isNotSent(error);
+      const isSent = !isNotSentError(error);
       return {
         answer: {
-          ...createUnreachable(message, 1),
+          ...createUnreachableAnswer(message, 1),
           ran: isSent ? "unknown" : "not-run",
         },
         retry: options.signal?.aborted ? "never" : "elsewhere",
-        retryAfterMs: SHORTEST_PAUSE_MS,
+        retryAfterMs: DEFAULT_RETRY_DELAY_MS,
         isSent,
       };
     }
@@ -237,15 +251,15 @@
   #createHeaders(
     options: CallOptions,
     key: string | undefined,
-    leftMs: number | undefined,
+    remainingMs: number | undefined,
   ): Record<string, string> {
     return {
       "authorization": `Bearer ${this.#parts.token}`,
       "content-type": "application/json",
       "x-priority": options.priority ?? "interactive",
-      ...(leftMs === undefined
+      ...(remainingMs === undefined
         ? {}
-        : { "x-deadline-ms": String(Math.max(1, Math.floor(leftMs))) }),
+        : { "x-deadline-ms": String(Math.max(1, Math.floor(remainingMs))) }),
       ...(options.isNonIdempotent ? { "x-non-idempotent": "true" } : {}),
       ...(key === undefined ? {} : { "idempotency-key": key }),
       ...(options.session === undefined
@@ -254,7 +268,10 @@
     };
   }
 
-  /** The key names the region of the first entry, where its journal is then kept near. */
+  /**
+   * Creates an idempotency key. It names the region of the first entry, so that the
+   * journal of the call is stored close to that entry.
+   */
   #createKey(): string {
     const region = this.#entries[0]?.region ?? "";
     return region === "" ? randomUUID() : `${region}~${randomUUID()}`;
@@ -262,11 +279,11 @@
 
   async #refreshEntries(isForced = false): Promise<void> {
     if (!isForced && performance.now() < this.#expiresMs) return;
-    const known = [
+    const urls = [
       ...this.#entries.map(({ url }) => url),
       ...this.#parts.entries,
     ];
-    for (const url of new Set(known)) {
+    for (const url of new Set(urls)) {
       try {
         const response = await request(`${url}/v1/entries`, {
           headers: { authorization: `Bearer ${this.#parts.token}` },
@@ -284,7 +301,7 @@
         this.#expiresMs = performance.now() + list.lifetime_ms;
         return;
       } catch {
-        // This entry is away: the next one may know.
+        // This entry is unavailable: the next one may have the list.
       }
     }
   }
@@ -297,8 +314,11 @@
   readonly isSent: boolean;
 }
 
-/** What may have run is repeated only if it is idempotent, or under its key. */
-function decideNext(
+/**
+ * Returns whether a call ends here, or where it is retried. A call that may have run is
+ * retried only if it is idempotent or has a key.
+ */
+function decideNextStep(
   sent: SentCall,
   options: CallOptions,
   key: string | undefined,
@@ -308,13 +328,13 @@
   const method = options.method ?? "POST";
   const isPlainPost = method === "POST" && options.isNonIdempotent !== true &&
     key === undefined;
-  const mayRepeat = answer.ran === "not-run" || key !== undefined ||
+  const mayRetry = answer.ran === "not-run" || key !== undefined ||
     (!options.isNonIdempotent &&
       (method !== "POST" || isPlainPost && isModelBody(options.body)));
-  return mayRepeat ? retry : "end";
+  return mayRetry ? retry : "end";
 }
 
-/** Calls of models are idempotent unless they are marked. */
+/** Returns whether a body is that of a model call; these are idempotent unless marked. */
 function isModelBody(body: unknown): boolean {
   return typeof body === "object" && body !== null && "model" in body;
 }
@@ -333,7 +353,7 @@
   }
 }
 
-function createUnreachable(message: string, tries: number): CallAnswer {
+function createUnreachableAnswer(message: string, tries: number): CallAnswer {
   return {
     status: 0,
     code: -1,
--- a/client/mod.ts
+++ b/client/mod.ts
@@ -1,5 +1,5 @@
 /**
- * A small library for callers.
+ * Client library for callers of the gateway.
  *
  * @example
  * ```ts
