--- a/engine/backend_client.ts
+++ b/engine/backend_client.ts
@@ -2,62 +2,63 @@
 import type { AttemptId } from "../ids/mod.ts";
 import type { BackendServer } from "../resources/mod.ts";
 
-/** One attempt to have a backend server do work. */
+/** One attempt to run a call on a backend server. */
 export interface BackendCall {
   readonly server: BackendServer;
   readonly attempt: AttemptId;
   readonly method: string;
-  /** Path with query. */
+  /** Path and query. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
-  /** Whether a stream of events is wanted. */
+  /** Whether the caller requests a stream of events. */
   readonly isStream: boolean;
 }
 
-/** How an attempt failed before any part of an answer was there. */
+/** How an attempt failed before any part of an answer arrived. */
 export type DispatchFailure =
-  /** No byte of the request went out. */
+  /** No byte of the request was sent. */
   | { readonly kind: "not-sent"; readonly message: string }
-  /** The server itself said that it did not run the work. */
+  /** The server reported that it did not run the work. */
   | {
     readonly kind: "refused";
     readonly message: string;
     readonly retryAfterMs: number;
   }
-  /** Something went out and no answer came: the work may have run. */
+  /** Part of the request was sent and no answer arrived: the work may have run. */
   | {
     readonly kind: "broken";
     readonly message: string;
-    /** Whether the server ended the connection. Default: no. */
+    /** Whether the server closed the connection. Default: `false`. */
     readonly isClosed?: boolean;
   };
 
-/** What an engine says of its load. It lags. */
+/** Load that an engine reports; the report is older than its arrival. */
 export interface EngineLoad {
-  /** Sequences being decoded. */
+  /** Number of sequences being decoded. */
   readonly running: number;
-  /** Sequences waiting. */
+  /** Number of sequences that wait. */
   readonly queued: number;
-  /** Prompt tokens that wait for prefill. */
+  /** Number of prompt tokens that wait for prefill. */
   readonly queuedTokens: number;
-  /** Age that the report has when it arrives, in milliseconds. */
+  /** Age of the report when it arrives, in milliseconds. */
   readonly lagMs: number;
 }
 
 /** One event of a stream. */
 export interface StreamEvent {
-  /** Attempt that the event belongs to, and its position, from 0. */
+  /** Id of the attempt that the event belongs to. */
   readonly attempt: string;
+  /** Position in the stream, from 0. */
   readonly index: number;
   /** Data of the event, as sent. */
   readonly data: string;
 }
 
-/** The data that ends every stream. */
+/** Data of the terminal event of every stream. */
 export const END_OF_STREAM = "[DONE]";
 
-/** The answer of a backend server. */
+/** Answer of a backend server: complete, or as a stream of events. */
 export type BackendAnswer =
   | {
     readonly kind: "whole";
@@ -68,63 +69,66 @@
   }
   | {
     readonly kind: "stream";
-    /** Ends without {@linkcode END_OF_STREAM} or throws when the stream breaks. */
+    /** Ends without {@linkcode END_OF_STREAM}, or throws, if the stream is interrupted. */
     readonly events: AsyncIterable<StreamEvent>;
     readonly load: EngineLoad | undefined;
   };
 
-/** An order to an engine to change what it serves. */
+/** Order to an engine to change the version that it serves. */
 export interface EngineOrder {
-  /** Grows with each holder of the lease of the region's placement. */
+  /** Fencing token of the lease of the region's placement; it grows with each holder. */
   readonly fencingToken: number;
   readonly orderId: string;
   /** Version to serve; `undefined` to unload. */
   readonly version: string | undefined;
 }
 
-/** What an engine reports of what it serves. */
+/** State that an engine reports. */
 export interface EngineState {
-  /** Version in service; `undefined` for none. */
+  /** Version that is served; `undefined` for none. */
   readonly version: string | undefined;
-  /** Version being loaded. */
+  /** Version that is being loaded; `undefined` for none. */
   readonly loading: string | undefined;
-  /** Last order it has taken. */
+  /** Id of the last order that the engine accepted. */
   readonly orderId: string | undefined;
-  /** Why the last load failed. */
+  /** Why the last load failed; `undefined` if it did not. */
   readonly failure: string | undefined;
 }
 
-/** How an order failed. */
+/**
+ * How an order failed. `fenced`: the engine has accepted an order with a newer fencing
+ * token. `unreachable`: the engine gave no answer, or an error.
+ */
 export type OrderFailure =
   | { readonly kind: "fenced"; readonly message: string }
   | { readonly kind: "unreachable"; readonly message: string };
 
-/** The port to model engines and plain services. */
+/** Port to the backend servers of models and plain services. */
 export interface BackendClient {
-  /** Makes one attempt. */
+  /** Sends a call once. */
   dispatch(
     call: BackendCall,
     signal: AbortSignal,
   ): Promise<Result<BackendAnswer, DispatchFailure>>;
-  /** Takes up a stream again after the event of an index. */
+  /** Resumes a stream after the event with a given index. */
   resume(
     server: BackendServer,
     attempt: AttemptId,
     options: { readonly afterIndex: number; readonly signal: AbortSignal },
   ): Promise<Result<BackendAnswer, DispatchFailure>>;
-  /** Ends a stream for good, so that it costs no more. */
+  /** Cancels a stream, so that the server does no more work for it. */
   cancel(server: BackendServer, attempt: AttemptId): Promise<void>;
-  /** Asks for the load. */
+  /** Reads the load that a server reports. */
   readLoad(
     server: BackendServer,
     signal: AbortSignal,
   ): Promise<Result<EngineLoad, DispatchFailure>>;
-  /** Orders a change. */
+  /** Sends an order to an engine. */
   order(
     server: BackendServer,
     order: EngineOrder,
   ): Promise<Result<void, OrderFailure>>;
-  /** Asks what is served. */
+  /** Reads which version an engine serves. */
   readState(
     server: BackendServer,
   ): Promise<Result<EngineState, DispatchFailure>>;
