--- a/configuration/accept_changes.ts
+++ b/configuration/accept_changes.ts
@@ -11,7 +11,7 @@
 import { readEntriesAfter, writeEntry } from "./configuration_log.ts";
 import type { ConfigurationState } from "./configuration_state.ts";
 
-/** What accepting a change needs. */
+/** What {@linkcode acceptChanges} needs. */
 export interface AcceptParts {
   readonly store: Store;
   readonly state: ConfigurationState;
@@ -20,36 +20,42 @@
   readonly instance: string;
 }
 
-/** A change as it arrives. */
+/** Changes that an operator requests. */
 export interface ChangeRequest {
   readonly operator: string;
   readonly changes: readonly RequestedChange[];
-  /** Only check it. Default: `false`. */
+  /** Whether to validate the changes only. Default: `false`. */
   readonly isDryRun?: boolean;
 }
 
-/** An accepted change. */
+/** Changes that were accepted. */
 export interface AcceptedChange {
-  /** Sequence number; in a dry run the one in force. */
+  /** Sequence number of the changes; in a dry run, the one in force. */
   readonly sequence: number;
   readonly changes: readonly ResourceChange[];
 }
 
-const MAX_TRIES = 20;
-/** Pauses for the budget of store calls: a burst is spread, not refused. */
-const MAX_WAITS = 100;
-const BUDGET_PAUSE_MS = 100;
-/** Pause after a lost race, for each try before it; jittered in full. */
-const RACE_PAUSE_MS = 10;
+const MAX_ATTEMPTS = 20;
+/**
+ * Maximum number of waits for the budget of store calls: a burst of changes is
+ * spread over time instead of refused.
+ */
+const MAX_BUDGET_WAITS = 100;
+const BUDGET_WAIT_MS = 100;
+/**
+ * Maximum delay after another change came first, for each earlier attempt; the
+ * actual delay has full jitter.
+ */
+const CONFLICT_BACKOFF_MS = 10;
 
 /**
- * Accepts an operator's change: validates it against the newest configuration
- * and appends it with its audit entry in one compare-and-swap. Where another
- * change came first, that one is applied and this one is validated again.
+ * Accepts an operator's changes: validates them against the newest configuration
+ * and appends them with their audit entry in one compare-and-swap. If another
+ * change came first, applies that one and validates these again.
  *
- * @param parts Store, state, clock, random source and own name.
- * @param request Who wants what.
- * @returns The change in force here, or why not.
+ * @param parts Store, state, clock, random source and the name of this instance.
+ * @param request Changes and the operator who requests them.
+ * @returns The changes, in force at this instance, or why they were refused.
  */
 export async function acceptChanges(
   parts: AcceptParts,
@@ -57,8 +63,8 @@
 ): Promise<Result<AcceptedChange, Failure>> {
   const { state, store } = parts;
   const changeId = createToken(parts.random);
-  let waits = 0;
-  for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+  let budgetWaits = 0;
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const validated = validateChanges(state.catalog, request.changes);
     if (validated.isErr()) return err(validated.error);
     const changes = validated.value;
@@ -74,11 +80,11 @@
     const written = await writeEntry(store, entry);
     if (
       written.isErr() && written.error.kind === "over-budget" &&
-      waits < MAX_WAITS
+      budgetWaits < MAX_BUDGET_WAITS
     ) {
-      waits++;
+      budgetWaits++;
       attempt--;
-      await waitFor(parts.clock, BUDGET_PAUSE_MS);
+      await waitFor(parts.clock, BUDGET_WAIT_MS);
       continue;
     }
     if (written.isErr()) return err(toWriteFailure(written.error));
@@ -88,7 +94,7 @@
     }
     await waitFor(
       parts.clock,
-      parts.random.nextFloat() * attempt * RACE_PAUSE_MS,
+      parts.random.nextFloat() * attempt * CONFLICT_BACKOFF_MS,
     );
     const caughtUp = await catchUp(store, state);
     if (caughtUp.isErr()) return err(toWriteFailure(caughtUp.error));
@@ -99,7 +105,7 @@
   return err(
     createFailure(
       "CONFLICT",
-      `Cannot apply: ${MAX_TRIES} other changes came first`,
+      `Cannot apply: ${MAX_ATTEMPTS} other changes came first`,
     ),
   );
 }
@@ -108,7 +114,7 @@
  * Applies every entry of the log that is not yet in force.
  *
  * @param store The store.
- * @param state The configuration of this daemon.
+ * @param state Configuration of this instance.
  * @returns The entries that were read.
  */
 export async function catchUp(
--- a/configuration/configuration_controller.ts
+++ b/configuration/configuration_controller.ts
@@ -14,60 +14,65 @@
 } from "./configuration_log.ts";
 import type { CatchUp, ConfigurationState } from "./configuration_state.ts";
 
-/** What the controller of the configuration needs. */
+/** What a {@linkcode ConfigurationController} needs. */
 export interface ConfigurationControllerParts {
   readonly state: ConfigurationState;
   readonly store: Store;
   readonly clock: Clock;
-  /** Whether this daemon is one of the watchers of its region. */
+  /** Returns whether this instance is one of those that watch the store for their region. */
   readonly isWatcher: () => boolean;
-  /** Whether this daemon is the one watcher that tells its region. */
+  /** Returns whether this instance is the one watcher that pushes entries to its region. */
   readonly isRelay: () => boolean;
-  /** The peers of the region to tell of a change. */
+  /** Sends entries to the peers of the region. */
   readonly push: (entries: readonly ConfigurationEntry[]) => void;
-  /** Asks some peer, the most advanced first, for what comes after a sequence number. */
+  /** Requests what comes after a sequence number from a peer, the most advanced one first. */
   readonly pull: (after: number) => Promise<CatchUp | undefined>;
-  /** Highest sequence number that any peer has reported. */
+  /** Returns the highest sequence number that any peer has reported. */
   readonly readNewestHeard: () => number;
-  /** Called with what an operator should know. */
+  /** Reports a message to the operator. */
   readonly report: (message: string) => void;
 }
 
 const CHECK_INTERVAL_MS = 300;
-const WATCH_PAUSE_MS = 500;
-const SNAPSHOT_EVERY = 256;
-const REPAIR_EVERY_CHECKS = 100;
+const WATCH_RETRY_MS = 500;
+const SNAPSHOT_INTERVAL_ENTRIES = 256;
+const CHECKS_PER_REPAIR = 100;
 
 /**
- * Keeps the configuration of one daemon at the newest: as a watcher from the
- * store, otherwise from its peers; and starts from whichever answers first.
+ * Keeps the configuration of one instance up to date: a watcher reads it from the
+ * store, the others from their peers. An instance starts with whichever of the two
+ * answers first.
  */
 export class ConfigurationController {
   readonly #parts: ConfigurationControllerParts;
-  /** Where the entries come from that are being applied. */
-  #source: "here" | "watch" | "peer" = "here";
-  #checks = 0;
+  /** Source of the entries that are being applied. */
+  #source: "local" | "watch" | "peer" = "local";
+  #checkCount = 0;
   #isPulling = false;
 
-  /** @param parts State, store, clock and ways to the peers. */
+  /** @param parts State, store, clock and functions that reach the peers. */
   constructor(parts: ConfigurationControllerParts) {
     this.#parts = parts;
   }
 
   /**
-   * Starts watching and comparing.
+   * Starts to watch the store and to compare with the peers.
    *
-   * @param signal Ends both.
+   * @param signal Stops both.
    */
   start(signal: AbortSignal): void {
     const { clock, state } = this.#parts;
     state.subscribe((entry) => {
       if (entry === undefined) return;
-      // Each entry is told once in a region; who misses it sees so by the next heartbeat.
-      const isTold = this.#source === "here" ||
+      // Each entry is pushed once in a region; an instance that misses it finds out by
+      // the next heartbeat.
+      const shouldPush = this.#source === "local" ||
         (this.#source === "watch" && this.#parts.isRelay());
-      if (isTold) this.#parts.push([entry]);
-      if (entry.sequence % SNAPSHOT_EVERY === 0 && this.#parts.isWatcher()) {
+      if (shouldPush) this.#parts.push([entry]);
+      if (
+        entry.sequence % SNAPSHOT_INTERVAL_ENTRIES === 0 &&
+        this.#parts.isWatcher()
+      ) {
         void writeSnapshot(this.#parts.store, state.toSnapshot());
       }
     });
@@ -76,9 +81,9 @@
   }
 
   /**
-   * Takes entries that a peer pushed.
+   * Applies entries that a peer pushed.
    *
-   * @param entries In order.
+   * @param entries Entries by ascending sequence number.
    */
   receive(entries: readonly ConfigurationEntry[]): void {
     const outcomes = this.#applyFrom(
@@ -89,11 +94,11 @@
   }
 
   /**
-   * Catches up with what any peer has reported in force. Before that a change
-   * must not be accepted: after a restore of the store its log may lack what
-   * peers have in force.
+   * Catches up with the newest configuration that any peer has reported. A change
+   * must not be accepted earlier: after a restore of the store, its log may lack
+   * entries that are in force at peers.
    *
-   * @returns Whether nothing newer is known of any more.
+   * @returns Whether no peer has reported anything newer.
    */
   async reachNewest(): Promise<boolean> {
     const { readNewestHeard, state } = this.#parts;
@@ -116,19 +121,19 @@
     const { clock, isWatcher } = this.#parts;
     while (!signal.aborted) {
       if (isWatcher()) await this.#watchOnce(signal);
-      await waitFor(clock, WATCH_PAUSE_MS, signal);
+      await waitFor(clock, WATCH_RETRY_MS, signal);
     }
   }
 
   async #watchOnce(signal: AbortSignal): Promise<void> {
     const { store, state, isWatcher } = this.#parts;
-    const ended = new AbortController();
+    const watchAbort = new AbortController();
     const events = store.watch(
       LOG_PREFIX,
-      AbortSignal.any([signal, ended.signal]),
+      AbortSignal.any([signal, watchAbort.signal]),
     );
-    const missed = catchUp(store, state).then((result) => {
-      if (result.isErr()) ended.abort();
+    const catchingUp = catchUp(store, state).then((result) => {
+      if (result.isErr()) watchAbort.abort();
     });
     for await (const event of events) {
       const entry = decodeLogEvent(event);
@@ -137,14 +142,14 @@
       if (outcome?.kind === "gap") await catchUp(store, state);
       if (!isWatcher()) break;
     }
-    ended.abort();
-    await missed;
+    watchAbort.abort();
+    await catchingUp;
   }
 
   #applyFrom<T>(source: "watch" | "peer", apply: () => T): T {
     this.#source = source;
     const result = apply();
-    this.#source = "here";
+    this.#source = "local";
     return result;
   }
 
@@ -154,8 +159,8 @@
       await this.#pullFromPeers();
     }
     if (!state.isLoaded) await this.#load();
-    this.#checks++;
-    if (isWatcher() && this.#checks % REPAIR_EVERY_CHECKS === 0) {
+    this.#checkCount++;
+    if (isWatcher() && this.#checkCount % CHECKS_PER_REPAIR === 0) {
       await this.#repairStore();
     }
   }
@@ -181,14 +186,14 @@
   }
 
   /**
-   * Puts back what a store lacks that was restored to an older state: what is
-   * in force stays in force, and the log goes on from there.
+   * Writes back the entries that the store lacks after it was restored to an older
+   * state. What is in force stays in force, and the log continues from there.
    */
   async #repairStore(): Promise<void> {
     const { state, store, report } = this.#parts;
     const missing: ConfigurationEntry[] = [];
-    // From the newest bucket back, as long as something is missing: there may be a
-    // hole before an entry that was accepted after the restore.
+    // Goes back from the newest bucket as long as entries are missing: there may be a
+    // gap before an entry that was accepted after the restore.
     const buckets = [
       ...groupBy(state.recent, ({ sequence }) => toBucket(sequence)),
     ].toReversed();
--- a/configuration/configuration_log.ts
+++ b/configuration/configuration_log.ts
@@ -7,25 +7,26 @@
 } from "../store/mod.ts";
 import type { CatalogSnapshot } from "./configuration_state.ts";
 
-/** Prefix of all entries of the log. */
+/** Prefix of the keys of all entries of the log. */
 export const LOG_PREFIX = "/havenspur/configuration/log/";
-const BASE_KEY = "/havenspur/configuration/base";
+const SNAPSHOT_POINTER_KEY = "/havenspur/configuration/base";
 const SNAPSHOT_PREFIX = "/havenspur/configuration/snapshot/";
 const BUCKET_SIZE = 100;
-const PART_BYTES = 600_000;
+const MAX_PART_BYTES = 600_000;
 
-/** How an append turned out. */
+/** Outcome of an append. */
 export type AppendOutcome =
   | { readonly kind: "appended" }
-  /** Another change took this place in the order. */
+  /** Another change has this sequence number already. */
   | { readonly kind: "taken"; readonly entry: ConfigurationEntry };
 
-interface Base {
+/** Stored under a fixed key; names the newest snapshot. */
+interface SnapshotPointer {
   readonly sequence: number;
   readonly parts: number;
 }
 
-/** Returns the bucket of an entry: a hundred entries are read in one call. */
+/** Returns the bucket of an entry. The hundred entries of a bucket are read in one call. */
 export function toBucket(sequence: number): number {
   return Math.floor(sequence / BUCKET_SIZE);
 }
@@ -43,12 +44,13 @@
 }
 
 /**
- * Appends an entry at its place in the order, by creating its key. After a lost
- * answer the key is read back and compared by change id.
+ * Appends an entry to the log by creating the key of its sequence number. If the
+ * store's response is lost, the key is read back and compared by change id.
  *
  * @param store The store.
- * @param entry The entry, with the sequence number it wants.
- * @returns A failure of kind `unknown` when its end could not be found out.
+ * @param entry The entry, with the sequence number that it is to get.
+ * @returns The outcome, or a failure; of kind `unknown` if it is not known whether
+ * the entry was written.
  */
 export async function writeEntry(
   store: Store,
@@ -114,13 +116,13 @@
 export async function readSnapshot(
   store: Store,
 ): Promise<Result<CatalogSnapshot | undefined, StoreFailure>> {
-  const read = await store.read(BASE_KEY);
+  const read = await store.read(SNAPSHOT_POINTER_KEY);
   if (read.isErr()) return err(read.error);
   if (read.value === undefined) return ok(undefined);
-  const base = JSON.parse(read.value.value) as Base;
-  const parts = await store.readPrefix(toSnapshotPrefix(base.sequence));
+  const pointer = JSON.parse(read.value.value) as SnapshotPointer;
+  const parts = await store.readPrefix(toSnapshotPrefix(pointer.sequence));
   if (parts.isErr()) return err(parts.error);
-  if (parts.value.length !== base.parts) {
+  if (parts.value.length !== pointer.parts) {
     return err({
       kind: "unavailable",
       message: "Cannot read the snapshot: parts are missing",
@@ -129,24 +131,24 @@
   const resources = parts.value.flatMap(({ value }) =>
     JSON.parse(value) as Resource[]
   );
-  return ok({ sequence: base.sequence, resources });
+  return ok({ sequence: pointer.sequence, resources });
 }
 
 /**
- * Writes a snapshot in parts under the value limit, then points to it. Any
- * daemon may do so at any time: the pointer only moves forward.
+ * Writes a snapshot in parts below the size limit of a value, then points to it.
+ * Any instance may do so at any time: the pointer only moves forward.
  *
  * @param store The store.
- * @param snapshot What is in force at the writer.
+ * @param snapshot What is in force at this instance.
  */
 export async function writeSnapshot(
   store: Store,
   snapshot: CatalogSnapshot,
 ): Promise<Result<"written" | "older", StoreFailure>> {
-  const read = await store.read(BASE_KEY);
+  const read = await store.read(SNAPSHOT_POINTER_KEY);
   if (read.isErr()) return err(read.error);
-  const base = read.value && JSON.parse(read.value.value) as Base;
-  if (base && base.sequence >= snapshot.sequence) return ok("older");
+  const pointer = read.value && JSON.parse(read.value.value) as SnapshotPointer;
+  if (pointer && pointer.sequence >= snapshot.sequence) return ok("older");
   const parts = splitParts(snapshot.resources);
   for (const [index, value] of parts.entries()) {
     const key = `${toSnapshotPrefix(snapshot.sequence)}${
@@ -160,14 +162,14 @@
     parts: parts.length,
   });
   const swapped = await store.swap({
-    key: BASE_KEY,
+    key: SNAPSHOT_POINTER_KEY,
     expectedRevision: read.value?.revision ?? 0,
     value,
   });
   return swapped.map(({ kind }) => kind === "written" ? "written" : "older");
 }
 
-/** Returns the entry that a watch reported, if it is one. */
+/** Returns the entry of a watch event, or `undefined` if the event has no value. */
 export function decodeLogEvent(
   event: StoreEvent,
 ): ConfigurationEntry | undefined {
@@ -184,7 +186,7 @@
   let size = 0;
   resources.forEach((resource) => {
     const bytes = JSON.stringify(resource).length;
-    if (size + bytes > PART_BYTES) {
+    if (size + bytes > MAX_PART_BYTES) {
       parts.push([]);
       size = 0;
     }
--- a/configuration/configuration_state.ts
+++ b/configuration/configuration_state.ts
@@ -8,13 +8,13 @@
   type Resource,
 } from "../resources/mod.ts";
 
-/** A whole catalog, for a daemon that is far behind. */
+/** A whole catalog, for an instance that is far behind. */
 export interface CatalogSnapshot {
   readonly sequence: number;
   readonly resources: readonly Resource[];
 }
 
-/** What a peer answers to one that is behind. */
+/** What a peer answers to an instance that is behind. */
 export type CatchUp =
   | {
     readonly kind: "entries";
@@ -22,17 +22,20 @@
   }
   | { readonly kind: "snapshot"; readonly snapshot: CatalogSnapshot };
 
-/** What became of an entry. */
+/** Outcome of applying an entry. */
 export type ApplyOutcome =
   | { readonly kind: "applied" }
   | { readonly kind: "stale" }
   | { readonly kind: "gap"; readonly next: number };
 
-const KEPT_ENTRIES = 512;
+const MAX_RECENT_ENTRIES = 512;
 
-/** The configuration in force at one daemon. Its one apply point. */
+/** Holds the configuration in force at one instance. All changes are applied here. */
 export class ConfigurationState {
-  /** Entries that were dropped since they were not newer than what is in force. */
+  /**
+   * Number of entries that were dropped because they were not newer than what is in
+   * force, and of snapshots that were older.
+   */
   staleCount = 0;
   #view: CatalogView = createCatalogView(EMPTY_CATALOG);
   #recent: ConfigurationEntry[] = [];
@@ -41,12 +44,12 @@
     (entry: ConfigurationEntry | undefined) => void
   >();
 
-  /** Indexes over what is in force. */
+  /** Indexes over the catalog in force. */
   get view(): CatalogView {
     return this.#view;
   }
 
-  /** What is in force. */
+  /** Catalog in force. */
   get catalog(): Catalog {
     return this.#view.catalog;
   }
@@ -56,7 +59,10 @@
     return this.#view.catalog.sequence;
   }
 
-  /** Whether the store or a peer has told what is in force; without it a daemon is not ready. */
+  /**
+   * Whether the store or a peer has reported what is in force. Until then, the
+   * instance is not ready.
+   */
   get isLoaded(): boolean {
     return this.#isLoaded;
   }
@@ -66,16 +72,16 @@
     this.#isLoaded = true;
   }
 
-  /** The entries still held, oldest first. */
+  /** The most recent entries, oldest first. */
   get recent(): readonly ConfigurationEntry[] {
     return this.#recent;
   }
 
   /**
-   * Calls back after each change of what is in force.
+   * Calls a listener after each change of what is in force.
    *
-   * @param listener Gets the entry, or `undefined` for a snapshot.
-   * @returns Ends the calls.
+   * @param listener Receives the entry, or `undefined` for a snapshot.
+   * @returns A function that ends the subscription.
    */
   subscribe(
     listener: (entry: ConfigurationEntry | undefined) => void,
@@ -87,7 +93,7 @@
   /**
    * Puts an entry in force, if it is the next one.
    *
-   * @param entry From the store or a peer.
+   * @param entry Entry from the store or a peer.
    */
   apply(entry: ConfigurationEntry): ApplyOutcome {
     const applied = applyEntry(this.catalog, entry);
@@ -96,7 +102,7 @@
       return applied.error;
     }
     this.#view = createCatalogView(applied.value);
-    this.#recent = [...this.#recent, entry].slice(-KEPT_ENTRIES);
+    this.#recent = [...this.#recent, entry].slice(-MAX_RECENT_ENTRIES);
     this.#isLoaded = true;
     this.#listeners.forEach((listener) => listener(entry));
     return { kind: "applied" };
@@ -105,7 +111,7 @@
   /**
    * Puts a snapshot in force, if it is newer.
    *
-   * @param snapshot From the store or a peer.
+   * @param snapshot Snapshot from the store or a peer.
    * @returns Whether it was newer.
    */
   applySnapshot(snapshot: CatalogSnapshot): boolean {
@@ -138,7 +144,7 @@
   }
 
   /**
-   * Returns what a peer lacks: entries if they are still held, else a snapshot.
+   * Returns what a peer lacks: the entries if they are still held, otherwise a snapshot.
    *
    * @param after Sequence number in force at the peer.
    */
--- a/configuration/mod.ts
+++ b/configuration/mod.ts
@@ -1,6 +1,6 @@
 /**
- * How a change is accepted once, comes into force at every daemon, and never
- * goes back.
+ * Accepts each change of the configuration once, applies it at every instance,
+ * and never goes back to an older state.
  *
  * @example
  * ```ts
