--- a/resources/catalog.ts
+++ b/resources/catalog.ts
@@ -7,12 +7,12 @@
 } from "./resource.ts";
 import type { ResourceSpecs } from "./resource_schemas.ts";
 
-/** All resources in force after one change; never altered. */
+/** All resources in force after one change; immutable. */
 export interface Catalog {
-  /** Sequence number of the last change in it; 0 for none. */
+  /** Sequence number of the last change in the catalog; 0 if there is none. */
   readonly sequence: number;
   readonly resources: ReadonlyMap<string, Resource>;
-  /** Who made the last change of each resource, for conflicts. */
+  /** Operator who last changed each resource, for the message about a conflict. */
   readonly operators: ReadonlyMap<string, string>;
 }
 
@@ -25,16 +25,16 @@
 
 /** Why an entry was not applied. */
 export type ApplyRefusal =
-  /** It is not newer than what is in force. */
+  /** The entry is not newer than what is in force. */
   | { readonly kind: "stale"; readonly inForce: number }
-  /** Entries before it are missing. */
+  /** Entries before this one are missing. */
   | { readonly kind: "gap"; readonly next: number };
 
 /**
- * Returns the catalog with one more entry. The one place at which a change
- * comes into force: entries apply in order, without gaps, and never twice.
+ * Returns the catalog with one more entry applied. This is the only place at which
+ * a change comes into force: entries apply in order, without gaps, and never twice.
  *
- * @param catalog What is in force.
+ * @param catalog Catalog in force.
  * @param entry The next entry.
  */
 export function applyEntry(
@@ -58,7 +58,7 @@
 }
 
 /**
- * Decides whether an entry follows directly on what is in force.
+ * Decides whether an entry directly follows what is in force.
  *
  * @param inForce Sequence number in force.
  * @param sequence Sequence number of the entry.
@@ -72,7 +72,7 @@
   return { kind: "next" };
 }
 
-/** Returns one resource, if it is in force. */
+/** Returns a resource, or `undefined` if it is not in force. */
 export function readResource<Kind extends ResourceKind>(
   catalog: Catalog,
   kind: Kind,
@@ -83,7 +83,7 @@
     | undefined;
 }
 
-/** Returns all resources of a kind, in order of name. */
+/** Returns all resources of a kind, sorted by name. */
 export function readResources<Kind extends ResourceKind>(
   catalog: Catalog,
   kind: Kind,
--- a/resources/catalog_view.ts
+++ b/resources/catalog_view.ts
@@ -16,7 +16,7 @@
 import { groupBy } from "./group_by.ts";
 import type { Resource } from "./resource.ts";
 
-/** A backend server as requests see it. */
+/** A backend server, with what the request path needs of it. */
 export interface BackendServer {
   readonly id: BackendId;
   readonly service: string;
@@ -24,16 +24,16 @@
   readonly failureDomain: string;
   readonly url: string;
   readonly isLeaving: boolean;
-  /** Sequences decoded at once. */
+  /** Number of sequences that the server decodes at the same time. */
   readonly slots: number;
   readonly pricePerSecond: number;
   readonly checksFencing: boolean;
 }
 
-/** Calls that a server of a plain service takes at once. */
+/** Number of calls that a server of a plain service handles at the same time. */
 export const PLAIN_SERVER_SLOTS = 64;
 
-/** A team as requests see it. */
+/** A team, with what the request path needs of it. */
 export interface Team {
   readonly id: TeamId;
   readonly spec: SpecOf<"team">;
@@ -42,7 +42,7 @@
 /** Indexes over one catalog, for the request path. */
 export interface CatalogView {
   readonly catalog: Catalog;
-  /** Who holds which key. */
+  /** Teams by the keys of their callers. */
   readonly callers: TeamTable;
   readonly teams: ReadonlyMap<string, Team>;
   /** Services by the name of their model, and of each of their adapters. */
@@ -62,9 +62,9 @@
 }
 
 /**
- * Builds the indexes over a catalog, once for each change.
+ * Builds the indexes over a catalog; called once for each change.
  *
- * @param catalog What is in force.
+ * @param catalog Catalog in force.
  */
 export function createCatalogView(catalog: Catalog): CatalogView {
   const teams = readResources(catalog, "team").map(({ name, spec }) => ({
@@ -110,11 +110,11 @@
 }
 
 /**
- * Returns the regions that a residency rule allows; `undefined` for all. A
- * rule that is named and missing allows none.
+ * Returns the regions that a residency rule allows, or `undefined` if no rule is
+ * named, which allows all regions. A rule that is named but missing allows none.
  *
- * @param catalog What is in force.
- * @param name Name of the rule.
+ * @param catalog Catalog in force.
+ * @param name Name of the rule, if any.
  */
 export function readAllowedRegions(
   catalog: Catalog,
--- a/resources/group_by.ts
+++ b/resources/group_by.ts
@@ -1,8 +1,8 @@
 /**
  * Returns the items in groups by key, in order of first appearance.
  *
- * @param items What to group.
- * @param toKey Key of an item.
+ * @param items Items to group.
+ * @param toKey Returns the key of an item.
  */
 export function groupBy<T, Key>(
   items: Iterable<T>,
--- a/resources/mod.ts
+++ b/resources/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The resources that operators declare, their schemas, and the catalog of what
- * is in force.
+ * The resources that operators declare, their schemas, and the catalog of the
+ * resources in force.
  *
  * @example
  * ```ts
--- a/resources/resource.ts
+++ b/resources/resource.ts
@@ -8,11 +8,11 @@
   readonly kind: Kind;
   readonly name: string;
   readonly spec: ResourceSpecs[Kind];
-  /** Sequence number of the change that set it. */
+  /** Sequence number of the change that set the resource. */
   readonly version: number;
 }
 
-/** One resource set or removed by a change. */
+/** One resource that a change sets or removes. */
 export interface ResourceChange {
   readonly kind: ResourceKind;
   readonly name: string;
@@ -20,19 +20,19 @@
   readonly spec: unknown;
 }
 
-/** An accepted change with its audit trail; the unit in which configuration travels. */
+/** An accepted change with its audit data: the unit in which configuration is stored and sent. */
 export interface ConfigurationEntry {
   /** Position in the total order of changes, from 1 without gaps. */
   readonly sequence: number;
-  /** Unique for ever; lets a writer recognise its own write. */
+  /** Never used twice; lets a writer recognize its own write. */
   readonly changeId: string;
-  /** When it was accepted, in milliseconds since the epoch. */
+  /** Time of acceptance, in milliseconds since the epoch. */
   readonly acceptedMs: number;
-  /** Who asked for it. */
+  /** Operator who requested the change. */
   readonly operator: string;
-  /** Instance that accepted it. */
+  /** Instance that accepted the change. */
   readonly instance: string;
-  /** All resources that it sets or removes, in force together or not at all. */
+  /** All resources that the change sets or removes; they come into force together or not at all. */
   readonly changes: readonly ResourceChange[];
 }
 
--- a/resources/resource_schemas.ts
+++ b/resources/resource_schemas.ts
@@ -5,9 +5,9 @@
 const ratio = z.number().min(0).max(100);
 
 const weights = z.strictObject({
-  /** Weight of tail latency in a choice. */
+  /** Weight of tail latency when an engine is picked. */
   latency: ratio.default(1),
-  /** Weight of price in a choice. */
+  /** Weight of price when an engine is picked. */
   cost: ratio.default(1),
 });
 
@@ -16,13 +16,13 @@
   adapters: z.array(resourceName).default([]),
   residency: resourceName.optional(),
   weights: weights.default({ latency: 1, cost: 1 }),
-  /** Aim for the first token, in milliseconds. */
+  /** Target time to the first token, in milliseconds. */
   firstTokenMs: z.number().int().min(10).max(600_000).default(770),
 });
 
 const plainService = z.strictObject({
   residency: resourceName.optional(),
-  /** Methods and path prefixes whose calls may not be repeated. */
+  /** Methods and path prefixes whose calls must not be retried. */
   nonIdempotent: z.array(
     z.strictObject({
       method: z.string().min(1),
@@ -77,11 +77,11 @@
   failureDomain: z.string().min(1),
   url: serverUrl,
   role: z.enum(["both", "prefill", "decode"]).default("both"),
-  /** Price of one second in use, in any one currency. */
+  /** Price of one second of use, in any currency that is the same for all engines. */
   pricePerSecond: z.number().min(0).default(1),
-  /** Whether it refuses an order with an old fencing number. */
+  /** Whether the engine refuses an order with an outdated fencing token. */
   checksFencing: z.boolean().default(false),
-  /** Sequences that it decodes at once. */
+  /** Number of sequences that the engine decodes at the same time. */
   slots: z.number().int().min(1).max(4_096).default(16),
   leaving: z.boolean().default(false),
 });
@@ -95,20 +95,20 @@
 });
 
 const httpRoute = z.strictObject({
-  /** Host of the calls, without a port. */
+  /** Host of the calls, without the port. */
   host: z.string().min(1).max(253),
-  /** Path of the calls; the longest that fits wins. */
+  /** Prefix of the path of the calls; the longest matching prefix wins. */
   pathPrefix: z.string().regex(/^\/(.*\/)?$/, {
     message: "must begin and end with a slash",
   }),
   routeClass: z.enum(["idempotent", "non-idempotent", "stream"])
     .default("non-idempotent"),
   timeoutMs: z.number().int().min(10).max(600_000).default(10_000),
-  /** Response-time objective; of a stream, to its first event. */
+  /** Target response time in milliseconds; for a stream, until its first event. */
   targetMs: z.number().int().min(1).max(600_000).default(1_000),
-  /** Rank of the calls; 0 is the most urgent. */
+  /** Priority of the calls; 0 is the most urgent. */
   priority: z.number().int().min(0).max(9).default(0),
-  /** Whether callers need no key; otherwise the key of a team. */
+  /** Whether callers need no key. Otherwise they need the key of a team. */
   public: z.boolean().default(true),
   /** Plain services that share the calls, by weight. */
   services: z.array(z.strictObject({
@@ -116,7 +116,7 @@
     weight: z.number().min(0).default(1),
   })).min(1),
   maxAttempts: z.number().int().min(1).max(10).default(1),
-  /** Whether a broken stream may go on at another server. */
+  /** Whether a broken stream may be resumed at another server. */
   resumable: z.boolean().default(false),
   residency: resourceName.optional(),
 });
--- a/resources/validate_changes.ts
+++ b/resources/validate_changes.ts
@@ -8,17 +8,20 @@
 } from "./resource.ts";
 import { RESOURCE_NAME, RESOURCE_SCHEMAS } from "./resource_schemas.ts";
 
-/** A change as an operator asks for it. */
+/** A change of one resource that an operator requests. */
 export interface RequestedChange {
   readonly kind: string;
   readonly name: string;
   /** Declared state; `null` removes the resource. */
   readonly spec: unknown;
-  /** Version that the operator has seen; 0: must be new. Default: any. */
+  /**
+   * Version that the operator expects to be in force; 0 if the resource must not exist
+   * yet. Default: any version.
+   */
   readonly version?: number;
 }
 
-type Holder = {
+type Referrer = {
   readonly kind: ResourceKind;
   readonly name: string;
   readonly spec: unknown;
@@ -29,12 +32,12 @@
 };
 
 /**
- * Checks an operator's changes against what is in force: schema, versions and
- * references, of all changes together.
+ * Checks an operator's changes against the catalog in force: their schemas, their
+ * versions, and the references that hold after all changes together.
  *
- * @param catalog What is in force.
- * @param requested What the operator asks for.
- * @returns Changes with all defaults filled in.
+ * @param catalog Catalog in force.
+ * @param requested Changes that the operator requests.
+ * @returns The changes with all defaults filled in, or why they were refused.
  */
 export function validateChanges(
   catalog: Catalog,
@@ -112,29 +115,30 @@
   catalog: Catalog,
   changes: readonly ResourceChange[],
 ): Result<readonly ResourceChange[], Failure> {
-  const after = new Map<string, Holder>(catalog.resources);
+  const resourcesAfter = new Map<string, Referrer>(catalog.resources);
   changes.forEach((change) => {
     const key = toResourceKey(change.kind, change.name);
-    if (change.spec === null) after.delete(key);
-    else after.set(key, change);
+    if (change.spec === null) resourcesAfter.delete(key);
+    else resourcesAfter.set(key, change);
   });
   const isRemoving = changes.some((change) => change.spec === null);
-  const holders: Iterable<Holder> = isRemoving
-    ? after.values()
+  const referrers: Iterable<Referrer> = isRemoving
+    ? resourcesAfter.values()
     : changes.filter((change) => change.spec !== null);
-  for (const holder of holders) {
-    const missing = readReferences(holder).find(({ kinds, name }) =>
-      !kinds.some((kind) => after.has(toResourceKey(kind, name)))
+  for (const referrer of referrers) {
+    const missing = readReferences(referrer).find(({ kinds, name }) =>
+      !kinds.some((kind) => resourcesAfter.has(toResourceKey(kind, name)))
     );
     if (missing === undefined) continue;
-    const message = `Cannot apply: ${holder.kind}/${holder.name} refers to ` +
+    const message =
+      `Cannot apply: ${referrer.kind}/${referrer.name} refers to ` +
       `${missing.kinds.join(" or ")} "${missing.name}", which does not exist`;
     return err(createFailure("INVALID_RESOURCE", message));
   }
   return ok(changes);
 }
 
-function readReferences({ kind, spec }: Holder): readonly Reference[] {
+function readReferences({ kind, spec }: Referrer): readonly Reference[] {
   const fields = spec as Readonly<Record<string, unknown>>;
   const toOne = (field: string, ...kinds: ResourceKind[]): Reference[] => {
     const name = fields[field];
@@ -181,7 +185,7 @@
   }
 }
 
-/** Returns the names of all regions that any backend server is in. */
+/** Returns the names of all regions that have a backend server, sorted. */
 export function readRegions(catalog: Catalog): readonly string[] {
   const regions = [
     ...readResources(catalog, "engine"),
