--- a/usage/fold_usage.ts
+++ b/usage/fold_usage.ts
@@ -9,41 +9,42 @@
 import { LIVE_USAGE_PREFIX, type UsageDocument } from "./usage_flusher.ts";
 import { addTotals, type UsageTotals } from "./usage_meter.ts";
 
-/** Counters of all incarnations that are gone. */
+/** Sum of the counters of dead incarnations. */
 export interface FoldedUsage extends ChangeLog {
   readonly totals: UsageTotals;
-  /** Keys whose counters are in the totals and that may still exist. */
+  /** Keys of the documents whose counters are in the totals and that may still exist. */
   readonly folded: readonly string[];
 }
 
-/** What folding needs. */
+/** What {@linkcode foldUsage} needs. */
 export interface FoldParts {
   readonly store: Store;
   readonly createChangeId: () => ChangeId;
-  /** Whether an incarnation is gone, as far as is known; it need not be certain. */
+  /** Returns whether an incarnation is dead, as far as is known; it need not be certain. */
   readonly isGone: (incarnation: string) => boolean;
   readonly nowMs: number;
 }
 
 const FOLDED_KEY = "/havenspur/usage/folded";
-const QUIET_MS = 60_000;
-/** Sealed documents are kept so long, so that a paused writer finds its own. */
-const KEPT_MS = 86_400_000;
-const OPTIONS = { callClass: "usage" } as const;
+/** Time without a flush after which the counters of a dead incarnation are folded. */
+const MIN_IDLE_MS = 60_000;
+/** How long sealed documents are kept, so that a writer that was paused finds its own. */
+const SEALED_RETENTION_MS = 86_400_000;
+const CALL_OPTIONS = { callClass: "usage" } as const;
 
 /**
- * Folds the counters of incarnations that are gone into the totals: first each
- * document is sealed, then it is added and noted in one compare-and-swap. Any
- * step may be repeated, by anyone, at any time.
+ * Folds the counters of dead incarnations into the totals. Each document is sealed
+ * first; then its counters are added and its key is recorded in one compare-and-swap.
+ * Any instance may repeat any step at any time.
  *
- * @param parts Store and knowledge of incarnations.
+ * @param parts Store, source of change ids, and what is known of incarnations.
  * @returns The number of documents folded.
  */
 export async function foldUsage(
   parts: FoldParts,
 ): Promise<Result<number, StoreFailure>> {
   const { store, nowMs } = parts;
-  const live = await store.readPrefix(LIVE_USAGE_PREFIX, OPTIONS);
+  const live = await store.readPrefix(LIVE_USAGE_PREFIX, CALL_OPTIONS);
   if (live.isErr()) return err(live.error);
   const entries = live.value.map(({ key, value, revision }) => ({
     key,
@@ -52,7 +53,7 @@
   }));
   const due = entries.filter(({ key, document }) =>
     document.isSealed || (parts.isGone(toIncarnationPart(key)) &&
-      nowMs - document.flushedMs > QUIET_MS)
+      nowMs - document.flushedMs > MIN_IDLE_MS)
   );
   let folded = 0;
   for (const { key } of due) {
@@ -62,26 +63,28 @@
     if (isNew.isErr()) return err(isNew.error);
     if (isNew.value) folded++;
   }
-  const old = entries.filter(({ document }) =>
-    document.isSealed && nowMs - document.flushedMs > KEPT_MS
+  const expired = entries.filter(({ document }) =>
+    document.isSealed && nowMs - document.flushedMs > SEALED_RETENTION_MS
   );
-  await removeDocuments(parts, old);
+  await removeDocuments(parts, expired);
   return ok(folded);
 }
 
 /**
- * Returns what every team used: the folded totals and what incarnations hold.
+ * Returns what every team used: the folded totals plus the counters of all documents
+ * that are not folded.
  *
  * @param store The store.
  */
 export async function readUsage(
   store: Store,
 ): Promise<Result<UsageTotals, StoreFailure>> {
-  // The folded totals first: a document folded in between is then missed, not counted twice.
-  const total = await store.read(FOLDED_KEY, OPTIONS);
+  // Reads the folded totals first: a document that is folded in between is then missed
+  // rather than counted twice.
+  const total = await store.read(FOLDED_KEY, CALL_OPTIONS);
   if (total.isErr()) return err(total.error);
   const folded = total.value && JSON.parse(total.value.value) as FoldedUsage;
-  const live = await store.readPrefix(LIVE_USAGE_PREFIX, OPTIONS);
+  const live = await store.readPrefix(LIVE_USAGE_PREFIX, CALL_OPTIONS);
   if (live.isErr()) return err(live.error);
   return ok(
     live.value.filter(({ key }) => !(folded?.folded.includes(key) ?? false))
@@ -101,7 +104,7 @@
       current === undefined || current.isSealed
         ? undefined
         : { ...current, isSealed: true },
-  }, OPTIONS);
+  }, CALL_OPTIONS);
   return sealed.map(({ document }) => document?.totals ?? {});
 }
 
@@ -121,19 +124,22 @@
         folded: [...folded, key],
       };
     },
-  }, OPTIONS);
+  }, CALL_OPTIONS);
   return added.map(({ kind }) => kind === "written");
 }
 
-/** The note of a document goes after the document itself: it can then no longer be folded again. */
+/**
+ * Removes documents, and only then their keys from the totals: a document that no
+ * longer exists can't be folded again.
+ */
 async function removeDocuments(
   { store, createChangeId }: FoldParts,
-  old: readonly { readonly key: string; readonly revision: number }[],
+  expired: readonly { readonly key: string; readonly revision: number }[],
 ): Promise<void> {
   const removed: string[] = [];
-  for (const { key, revision } of old) {
+  for (const { key, revision } of expired) {
     const swap = { key, expectedRevision: revision, value: undefined };
-    const swapped = await store.swap(swap, OPTIONS);
+    const swapped = await store.swap(swap, CALL_OPTIONS);
     if (swapped.isOk() && swapped.value.kind === "written") removed.push(key);
   }
   if (removed.length === 0) return;
@@ -145,7 +151,7 @@
         totals: current.totals,
         folded: current.folded.filter((key) => !removed.includes(key)),
       },
-  }, OPTIONS);
+  }, CALL_OPTIONS);
 }
 
 function toIncarnationPart(key: string): string {
--- a/usage/mod.ts
+++ b/usage/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What teams used, for charging: counted once, whatever fails.
+ * Counts what teams use, for charging. Usage is counted only once, whatever fails.
  *
  * @example
  * ```ts
--- a/usage/usage_flusher.ts
+++ b/usage/usage_flusher.ts
@@ -8,18 +8,18 @@
 } from "../store/mod.ts";
 import { addTotals, subtractTotals, type UsageTotals } from "./usage_meter.ts";
 
-/** Cumulative counters of one incarnation in the store. */
+/** Cumulative counters of one incarnation, as they are stored. */
 export interface UsageDocument extends ChangeLog {
   readonly totals: UsageTotals;
   readonly flushedMs: number;
-  /** Folded or about to be: nothing more may be written to it. */
+  /** Whether the document is folded or about to be; nothing more may be written to it. */
   readonly isSealed: boolean;
 }
 
-/** Prefix of the counters of incarnations. */
+/** Prefix of the keys of the documents with the counters of incarnations. */
 export const LIVE_USAGE_PREFIX = "/havenspur/usage/live/";
 
-/** What a flusher is created from. */
+/** What a {@linkcode UsageFlusher} needs. */
 export interface UsageFlusherParts {
   readonly store: Store;
   readonly incarnation: string;
@@ -27,16 +27,17 @@
 }
 
 /**
- * Writes the cumulative counters of one incarnation. Each flush overwrites the
- * last, so that repeating one changes nothing. Where another instance has sealed
- * the document, what it holds is left to be folded, and a new part begins.
+ * Writes the cumulative counters of one incarnation to the store. Each flush
+ * overwrites the one before, so that a repeated flush changes nothing. If another
+ * instance has sealed the document, its counters are left to be folded, and the
+ * flusher begins a new part.
  */
 export class UsageFlusher {
   readonly #parts: UsageFlusherParts;
   #part = 0;
-  /** What sealed parts hold. */
+  /** Sum of the counters in the sealed parts. */
   #baseline: UsageTotals = {};
-  /** What the open part was last asked to hold. */
+  /** Counters that the last flush tried to write to the open part. */
   #attempted: UsageTotals = {};
   #hasWritten = false;
 
@@ -53,8 +54,8 @@
   /**
    * Writes the counters.
    *
-   * @param totals Cumulative, since the start of the incarnation.
-   * @param nowMs Time now.
+   * @param totals Cumulative counters since the start of the incarnation.
+   * @param nowMs Current time, in milliseconds since the epoch.
    */
   async flush(
     totals: UsageTotals,
@@ -67,8 +68,8 @@
       key: this.key,
       changeId: this.#parts.createChangeId(),
       update: (current) => {
-        const isGone = current === undefined && hadWritten;
-        if (isGone || current?.isSealed === true) return undefined;
+        const isRemoved = current === undefined && hadWritten;
+        if (isRemoved || current?.isSealed === true) return undefined;
         return { totals: part, flushedMs: nowMs, isSealed: false };
       },
     }, { callClass: "usage" });
@@ -80,10 +81,13 @@
     return written.map(() => undefined);
   }
 
-  /** What a sealed part holds is charged from there; what came since goes to the next part. */
+  /**
+   * Begins the next part. The counters of the sealed part are charged from that part;
+   * all usage beyond them goes to the next one.
+   */
   #beginPart(sealed: UsageDocument | undefined): void {
-    const held = sealed?.totals ?? this.#attempted;
-    this.#baseline = addTotals(this.#baseline, held);
+    const sealedTotals = sealed?.totals ?? this.#attempted;
+    this.#baseline = addTotals(this.#baseline, sealedTotals);
     this.#part++;
     this.#hasWritten = false;
   }
--- a/usage/usage_meter.ts
+++ b/usage/usage_meter.ts
@@ -9,11 +9,11 @@
 /** Cumulative counters by team. */
 export type UsageTotals = Readonly<Record<string, UsageCounters>>;
 
-/** Counts what each team used at this instance, since its start. */
+/** Counts what each team has used at this instance since the instance started. */
 export class UsageMeter {
   readonly #totals = new Map<TeamId, { requests: number; tokens: number }>();
 
-  /** Adds one request and its tokens. */
+  /** Adds one request of a team and the request's tokens. */
   record(team: TeamId, tokens: number): void {
     const totals = this.#totals.get(team);
     if (totals === undefined) this.#totals.set(team, { requests: 1, tokens });
@@ -36,7 +36,7 @@
   return combineTotals(a, b, 1);
 }
 
-/** Returns what the first set of counters has more than the second. */
+/** Returns the first set of counters minus the second. */
 export function subtractTotals(a: UsageTotals, b: UsageTotals): UsageTotals {
   return combineTotals(a, b, -1);
 }
