--- a/results/failure.ts
+++ b/results/failure.ts
@@ -6,7 +6,7 @@
 
 /** Optional parts of a failure. */
 export interface FailureOptions {
-  /** When the caller should come back, in milliseconds. Default: not said. */
+  /** Time after which the caller should retry, in milliseconds. Default: none. */
   readonly retryAfterMs?: number;
   /** Structured facts for the caller, such as a conflicting version. Default: none. */
   readonly details?: Readonly<Record<string, unknown>>;
@@ -25,7 +25,7 @@
  *
  * @param name Result code.
  * @param message What was wanted and what was got.
- * @param options Further facts.
+ * @param options Optional parts.
  * @returns The failure.
  */
 export function createFailure(
@@ -40,7 +40,7 @@
  * Returns the table row of a failure.
  *
  * @param failure Any failure.
- * @returns Its row: number, status, whether it ran, and the retry advice.
+ * @returns The row: code, HTTP status, whether the work ran, and the retry advice.
  */
 export function readRow(failure: Failure): ResultRow {
   return RESULT_CODES[failure.name];
--- a/results/mod.ts
+++ b/results/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Numbered result codes and the failures that carry them. Every refusal says
- * whether the work ran, so that a caller knows if it may ask again.
+ * Numbered result codes and the failures that have them. Every refusal states
+ * whether the work ran, so that a caller knows whether it may retry.
  *
  * @example
  * ```ts
--- a/results/result_code.ts
+++ b/results/result_code.ts
@@ -12,7 +12,7 @@
 
 /** One row of the table of result codes. */
 export interface ResultRow {
-  /** Number that callers see in `error.code`. Never reused. */
+  /** Number that callers get in `error.code`; never reused. */
   readonly code: number;
   /** HTTP status sent with the result. */
   readonly status: number;
