--- a/ids/mod.ts
+++ b/ids/mod.ts
@@ -11,14 +11,14 @@
 
 declare const brand: unique symbol;
 
-/** A string that carries the name of what it identifies. */
+/** A string whose type carries the name of what it identifies. */
 export type Branded<Name extends string> = string & { readonly [brand]: Name };
 
-/** One daemon process, by its configured name. */
+/** One instance, by its configured name. */
 export type InstanceId = Branded<"InstanceId">;
-/** One start of one daemon process. */
+/** One start of one instance. */
 export type Incarnation = Branded<"Incarnation">;
-/** One start of a model engine or plain service server. */
+/** One start of a backend server: a model engine or a server of a plain service. */
 export type BackendId = Branded<"BackendId">;
 /** One region. */
 export type RegionId = Branded<"RegionId">;
@@ -26,18 +26,18 @@
 export type FailureDomainId = Branded<"FailureDomainId">;
 /** One team of callers. */
 export type TeamId = Branded<"TeamId">;
-/** One request at its entry. */
+/** One request; its id comes from the instance that received it from the caller. */
 export type RequestId = Branded<"RequestId">;
 /** One attempt of one request at one backend server. */
 export type AttemptId = Branded<"AttemptId">;
 /** An idempotency key with its team. */
 export type RunKey = Branded<"RunKey">;
-/** Method, host, path and body of a call: a call that comes again has the same. */
+/** Digest of the method, host, path and body of a call; a repeated call has the same one. */
 export type CallFingerprint = Branded<"CallFingerprint">;
-/** One write to the store, unique for ever. */
+/** One write to the store; never used twice. */
 export type ChangeId = Branded<"ChangeId">;
 
-/** Base in which the start of a server is written into its id: 8 signs in place of 13. */
+/** Base in which an id contains the start time of a server: 8 characters instead of 13. */
 const START_RADIX = 36;
 
 /** Returns the text as an instance id. */
@@ -64,22 +64,22 @@
 export const toChangeId = (text: string): ChangeId => text as ChangeId;
 
 /**
- * Returns the id of one start of a backend server. A server that comes back under
- * its name is another one: what was learned, counted or told of the start before
- * names an id that nobody has any more, in whatever order it arrives.
+ * Returns the id of one start of a backend server. A server that restarts under the
+ * same name gets another id. What was learned, counted or reported of an earlier start
+ * then refers to an id that is no longer in use, in whatever order it arrives.
  *
- * @param name What the server calls itself, without an `@`.
- * @param startedMs When it started, in milliseconds since the epoch. Default: its
- * name stands for all its starts.
+ * @param name Name that the server gives itself, without an `@`.
+ * @param startedMs Start time, in milliseconds since the epoch. Default: none; the
+ * name stands for all starts of the server.
  */
 export function toStartedId(name: string, startedMs?: number): BackendId {
   if (startedMs === undefined) return toBackendId(name);
-  // Short, since reports between instances name servers many times a second.
+  // Short, since reports between instances contain server ids many times a second.
   return toBackendId(`${name}@${startedMs.toString(START_RADIX)}`);
 }
 
 /**
- * Returns the key of a run: an idempotency key is scoped to its team.
+ * Returns the key of a run. An idempotency key is scoped to its team.
  *
  * @param team Team of the caller.
  * @param key The caller's `Idempotency-Key`.
