--- a/clock/clock.ts
+++ b/clock/clock.ts
@@ -1,24 +1,28 @@
-/** Time and timers. Decisions and daemons take it as a parameter. */
+/** Time and timers; passed as a parameter to whatever needs them. */
 export interface Clock {
   /** Returns milliseconds since the epoch. */
   nowMs(): number;
   /**
-   * Returns milliseconds since any start, on a clock that goes on while the machine is
-   * suspended, as `nowMs` does not. Costlier, and coarser by some ten milliseconds: for
-   * what another process counts as well, a lease say.
+   * Returns milliseconds since an arbitrary start, on a clock that, unlike that of
+   * `nowMs`, keeps running while the machine is suspended. It costs more and is coarser
+   * by about ten milliseconds; for durations that another process measures too, such as
+   * that of a lease.
    */
   elapsedMs(): number;
   /**
-   * Calls back once after a delay, unless the signal aborts first.
+   * Calls a function once after a delay, unless the signal aborts first.
    *
    * @param delayMs Delay in milliseconds.
-   * @param callback What to call.
+   * @param callback Function to call.
    * @param signal Cancels the timer.
    */
   schedule(delayMs: number, callback: () => void, signal?: AbortSignal): void;
 }
 
-/** Reason of a timer's end; without one each abort would make an error with its stack. */
+/**
+ * Reason for aborting a timer. Without a reason, each abort creates an error with its
+ * stack trace.
+ */
 const CANCELLED = "cancelled";
 
 /**
@@ -47,13 +51,13 @@
 }
 
 /**
- * Calls back after a delay and one more turn of the loop. Timers run before what
- * has arrived is read: without the turn, a process that is behind takes its own
- * lateness for the silence of others.
+ * Calls a function after a delay and one more iteration of the event loop. Timers run
+ * before bytes that have arrived are read: without the extra iteration, a process that
+ * is behind would mistake its own delay for the silence of others.
  *
  * @param clock Source of time.
  * @param delayMs Delay in milliseconds.
- * @param callback What to call.
+ * @param callback Function to call.
  * @param signal Cancels the timer.
  */
 export function scheduleAfterReading(
@@ -66,12 +70,12 @@
 }
 
 /**
- * Calls back every interval until the signal aborts. A call that takes longer
- * than the interval delays the next one, so that calls never overlap.
+ * Calls a function repeatedly until the signal aborts, with a pause after each call.
+ * A call that takes long delays the next one, so that calls never overlap.
  *
  * @param clock Source of time.
  * @param intervalMs Pause between calls in milliseconds.
- * @param callback What to call.
+ * @param callback Function to call.
  * @param signal Ends the series.
  */
 export function scheduleEvery(
--- a/clock/loop_delay_test.ts
+++ b/clock/loop_delay_test.ts
@@ -11,8 +11,8 @@
 }
 
 describe("LoopDelay", () => {
-  describe("when the loop keeps up", () => {
-    it("is 0, also between two looks", () => {
+  describe("when the event loop keeps up", () => {
+    it("is 0, also between two checks", () => {
       const { loop, delay } = start();
       loop.work(52);
       loop.turn();
@@ -21,8 +21,8 @@
     });
   });
 
-  describe("when a turn takes long", () => {
-    it("holds what was read in it, and in the next one, as waiting since then", () => {
+  describe("when an iteration takes long", () => {
+    it("reports how long bytes read in it and in the next one may have waited", () => {
       const { loop, delay } = start();
       loop.work(700);
       assert.equal(delay.readMs(), 650);
@@ -30,7 +30,7 @@
       assert.equal(delay.readMs(), 650);
     });
 
-    it("is over after a turn that was quick", () => {
+    it("is 0 again after a quick iteration", () => {
       const { loop, delay } = start();
       loop.work(700);
       loop.turn();
@@ -39,10 +39,10 @@
       assert.equal(delay.readMs(), 0);
     });
 
-    it("looks at each turn while it lasts", () => {
+    it("checks in each iteration while the event loop is behind", () => {
       const { loop, delay } = start();
-      const read = [300, 200, 100, 2].map((turnMs) => {
-        loop.work(turnMs);
+      const read = [300, 200, 100, 2].map((iterationMs) => {
+        loop.work(iterationMs);
         loop.turn();
         return delay.readMs();
       });
--- a/clock/random.ts
+++ b/clock/random.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** A source of random numbers, passed to whatever needs one. */
+/** A source of random numbers; passed as a parameter to whatever needs one. */
 export interface Random {
   /** Returns a number from 0 (included) to 1 (excluded). */
   nextFloat(): number;
@@ -19,9 +19,9 @@
 }
 
 /**
- * Returns one element, each as likely as the others.
+ * Returns one element, picked uniformly at random.
  *
- * @param items Not empty.
+ * @param items Elements to pick from; not empty.
  * @param random Source of random numbers.
  */
 export function pickRandom<T>(
@@ -32,7 +32,7 @@
 }
 
 /**
- * Returns a random text of lower-case hexadecimal digits.
+ * Returns a random string of lower-case hexadecimal digits.
  *
  * @param random Source of random numbers.
  * @param length Number of digits. Default: 16.
--- a/clock/sliding_count.ts
+++ b/clock/sliding_count.ts
@@ -1,38 +1,38 @@
-/** Parts that a window is counted in. */
-const BUCKETS = 20;
+/** Number of buckets that a window is divided into. */
+const BUCKET_COUNT = 20;
 
-/** Counts what happened in the last so many milliseconds. */
+/** Counts events in a window of time that ends now. */
 export class SlidingCount {
   readonly #bucketMs: number;
-  readonly #counts = new Array<number>(BUCKETS).fill(0);
+  readonly #counts = new Array<number>(BUCKET_COUNT).fill(0);
   #bucket = 0;
   #total = 0;
 
-  /** @param windowMs Length of the window. */
+  /** @param windowMs Length of the window in milliseconds. */
   constructor(windowMs: number) {
-    this.#bucketMs = windowMs / BUCKETS;
+    this.#bucketMs = windowMs / BUCKET_COUNT;
   }
 
-  /** Adds to the count. */
+  /** Adds events that happen now to the count. */
   add(nowMs: number, count = 1): void {
-    this.#roll(nowMs);
-    this.#counts[this.#bucket % BUCKETS]! += count;
+    this.#dropExpired(nowMs);
+    this.#counts[this.#bucket % BUCKET_COUNT]! += count;
     this.#total += count;
   }
 
   /** Returns the count of the window that ends now. */
   read(nowMs: number): number {
-    this.#roll(nowMs);
+    this.#dropExpired(nowMs);
     return this.#total;
   }
 
-  #roll(nowMs: number): void {
+  #dropExpired(nowMs: number): void {
     const bucket = Math.floor(nowMs / this.#bucketMs);
-    const steps = Math.min(BUCKETS, bucket - this.#bucket);
+    const steps = Math.min(BUCKET_COUNT, bucket - this.#bucket);
     for (let step = 1; step <= steps; step++) {
-      const at = (bucket - steps + step) % BUCKETS;
-      this.#total -= this.#counts[at]!;
-      this.#counts[at] = 0;
+      const index = (bucket - steps + step) % BUCKET_COUNT;
+      this.#total -= this.#counts[index]!;
+      this.#counts[index] = 0;
     }
     if (bucket > this.#bucket) this.#bucket = bucket;
   }
--- a/clock/virtual_clock.ts
+++ b/clock/virtual_clock.ts
@@ -6,17 +6,17 @@
   readonly order: number;
   readonly callback: () => void;
   cancelled: boolean;
-  /** Stops listening to the signal. */
+  /** Removes the listener from the signal. */
   detach?: () => void;
 }
 
-/** A clock that stands still until it is advanced. For tests and benchmarks. */
+/** A clock whose time changes only when it is advanced. For tests and benchmarks. */
 export class VirtualClock implements Clock {
   #nowMs: number;
   #order = 0;
   #heap: Timer[] = [];
 
-  /** @param startMs First value of `nowMs`. */
+  /** @param startMs Initial time, in milliseconds since the epoch. */
   constructor(startMs = 1_000_000) {
     this.#nowMs = startMs;
   }
@@ -49,7 +49,7 @@
   /**
    * Runs every timer that falls due, without letting promises settle.
    *
-   * @param durationMs How far to advance.
+   * @param durationMs Time to advance by, in milliseconds.
    */
   advanceSync(durationMs: number): void {
     const endMs = this.#nowMs + durationMs;
@@ -60,7 +60,7 @@
   /**
    * Runs every timer that falls due and lets promises settle after each.
    *
-   * @param durationMs How far to advance.
+   * @param durationMs Time to advance by, in milliseconds.
    */
   async advance(durationMs: number): Promise<void> {
     const endMs = this.#nowMs + durationMs;
@@ -69,7 +69,7 @@
     this.#nowMs = endMs;
   }
 
-  /** Runs the next timer that is due and not cancelled; `false` if there is none. */
+  /** Runs the next timer that is due and not cancelled; returns `false` if there is none. */
   #runNext(endMs: number): boolean {
     for (
       let timer = this.#pop(endMs);
@@ -104,27 +104,27 @@
     const last = heap.pop()!;
     if (heap.length > 0) {
       heap[0] = last;
-      this.#sink();
+      this.#siftDown();
     }
     return first;
   }
 
-  #sink(): void {
+  #siftDown(): void {
     const heap = this.#heap;
     let at = 0;
     while (true) {
       const left = 2 * at + 1;
       const right = left + 1;
-      let least = at;
-      if (left < heap.length && isBefore(heap[left]!, heap[least]!)) {
-        least = left;
+      let earliest = at;
+      if (left < heap.length && isBefore(heap[left]!, heap[earliest]!)) {
+        earliest = left;
       }
-      if (right < heap.length && isBefore(heap[right]!, heap[least]!)) {
-        least = right;
+      if (right < heap.length && isBefore(heap[right]!, heap[earliest]!)) {
+        earliest = right;
       }
-      if (least === at) return;
-      [heap[at], heap[least]] = [heap[least]!, heap[at]!];
-      at = least;
+      if (earliest === at) return;
+      [heap[at], heap[earliest]] = [heap[earliest]!, heap[at]!];
+      at = earliest;
     }
   }
 }
