--- a/ports/gateway_parts.ts
+++ b/ports/gateway_parts.ts
@@ -8,7 +8,7 @@
 import type { Directory, InstanceList, PeerTransport } from "../peers/mod.ts";
 import type { Store } from "../store/mod.ts";
 
-/** Everything outside of a daemon, and its settings: all that an adapter must bring. */
+/** What an instance needs from outside, and its settings: all that an adapter must provide. */
 export interface GatewayParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -21,36 +21,36 @@
   readonly metrics: Metrics;
   readonly self: InstanceRecord;
   readonly options: GatewayOptions;
-  /** Decisions to use in place of the product's own, for experiments. Default: none. */
+  /** Decisions that replace the gateway's own, for experiments. Default: none. */
   readonly policies?: Policies;
 }
 
-/** Decisions that an experiment can replace, to measure others beside them. */
+/** Decisions that an experiment can replace, to compare alternatives with them. */
 export interface Policies {
-  /** Picks an engine. */
+  /** Picks the engine for a request. */
   readonly pickEngine?: typeof pickEngine;
-  /** Decides between home and another region. */
+  /** Decides between the home region and another one. */
   readonly decideRegion?: typeof decideRegion;
-  /** Sends work away without credits. */
+  /** Whether work is sent to other regions without credits. */
   readonly ignoresCredits?: boolean;
-  /** Returns the busy sequences of a pool up to which batch work starts. */
+  /** Returns the number of busy sequences in a pool up to which batch work starts. */
   readonly computeThreshold?: (servers: number) => number;
-  /** Lets everything in at once, in place of the queue. */
+  /** Whether all requests are admitted at once, without the queue. */
   readonly admitsAll?: boolean;
   /** Decides on retries. */
   readonly decideRetry?: typeof decideRetry;
-  /** Never ejects an engine. */
+  /** Whether engines are never ejected. */
   readonly neverEjects?: boolean;
 }
 
-/** Settings that the daemon's logic uses. */
+/** Settings that the logic of an instance uses. */
 export interface GatewayOptions {
   readonly operatorTokenHash: string;
   readonly peerToken: string;
-  /** Calls a second that all daemons together may make to the store. */
+  /** Calls per second that all instances together may make to the store. */
   readonly storeCallsPerSecond: number;
   readonly storeRegions: readonly string[];
-  /** Loads of weights a minute that the weight store takes from all regions together. */
+  /** Loads of model weights per minute that the weight store accepts from all regions together. */
   readonly weightLoadsPerMinute: number;
   readonly journalShards: number;
   readonly journalRetentionMs: number;
--- a/ports/mod.ts
+++ b/ports/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Everything outside of a daemon as one type: what an adapter must bring, and
- * what filters and controllers are given.
+ * What an instance needs from outside, as one type: what an adapter must provide,
+ * and what filters and controllers are given.
  *
  * @example
  * ```ts
