--- a/run_journal/key_journal.ts
+++ b/run_journal/key_journal.ts
@@ -21,24 +21,25 @@
 
 interface RunDocument extends RunRecord, ChangeLog {}
 
-/** What a journal is created from. */
+/** What a {@linkcode KeyJournal} is created from. */
 export interface KeyJournalParts {
   readonly store: Store;
   readonly clock: Clock;
   readonly random: Random;
+  /** Returns whether a holder is known to be dead. */
   readonly isGone: (holder: Incarnation) => boolean;
 }
 
 const KEY_PREFIX = "/havenspur/journal/key/";
 
 /**
- * A journal with one key in the store for each run: two writes a run. Kept as
- * the baseline that the sharded journal is measured against.
+ * A run journal with one key in the store for each run, which takes two writes a
+ * run. It is the baseline that the sharded journal is compared with.
  */
 export class KeyJournal implements RunJournal {
   readonly #parts: KeyJournalParts;
 
-  /** @param parts Store, clock, random source and knowledge of holders. */
+  /** @param parts Store, clock, random source and which holders are dead. */
   constructor(parts: KeyJournalParts) {
     this.#parts = parts;
   }
@@ -50,10 +51,10 @@
     const written = await writeChange<RunDocument>(store, {
       key: KEY_PREFIX + run.key,
       changeId,
-      // A new run is the common case: try the create before any read.
+      // Most runs are new, so this creates the key without reading it first.
       known: { document: undefined, revision: 0 },
-      update: (known) => {
-        const decided = decideBegin(known, run, clock.nowMs(), { isGone });
+      update: (existing) => {
+        const decided = decideBegin(existing, run, clock.nowMs(), { isGone });
         decision = decided.kind === "claim" ? undefined : decided;
         if (decided.kind !== "claim") return undefined;
         return { ...run, begunMs: clock.nowMs(), end: undefined };
@@ -73,7 +74,7 @@
     await writeChange<RunDocument>(this.#parts.store, {
       key: KEY_PREFIX + key,
       changeId: this.#createChangeId(),
-      update: (known) => applyEnd(known, attempt, end),
+      update: (existing) => applyEnd(existing, attempt, end),
     }, { callClass: "journal" });
   }
 
--- a/run_journal/mod.ts
+++ b/run_journal/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The run journal: non-idempotent work runs at most once, whatever fails.
+ * The run journal, which lets non-idempotent work run at most once, whatever
+ * fails. A run is recorded in the store before its call is dispatched.
  *
  * @example
  * ```ts
--- a/run_journal/run_journal.ts
+++ b/run_journal/run_journal.ts
@@ -3,13 +3,16 @@
 import type { Failure } from "../results/mod.ts";
 import type { BeginOutcome, Run, RunEnd } from "./run_record.ts";
 
-/** The journal of non-idempotent runs. */
+/** A journal that lets each non-idempotent run be dispatched at most once. */
 export interface RunJournal {
   /**
-   * Asks to begin a run. Only after `granted` may the attempt be dispatched.
-   * A failure means that it must not be, now or later.
+   * Asks to begin a run. The attempt may be dispatched only after `granted`.
+   * After a failure the attempt must not be dispatched, now or later.
    */
   begin(run: Run): Promise<Result<BeginOutcome, Failure>>;
-  /** Records the end of a run that was granted. Resolves when it is known to be in, or given up. */
+  /**
+   * Records the end of a granted run. Resolves when the store is known to hold
+   * the end, or when the journal has given up on recording it.
+   */
   finish(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void>;
 }
--- a/run_journal/run_record.ts
+++ b/run_journal/run_record.ts
@@ -1,6 +1,6 @@
 import type { AttemptId, Incarnation, RunKey } from "../ids/mod.ts";
 
-/** An answer that is kept, to be returned again. */
+/** A stored answer, which is returned when the request is repeated. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -9,111 +9,122 @@
 
 /** How a run ended. */
 export type RunEnd =
-  /** It ran; the answer is kept where size and residency allow. */
+  /** The run took place. The answer is stored if its size and residency allow. */
   | { readonly kind: "ran"; readonly answer: KeptAnswer | undefined }
-  /** It did not run, for certain: the key may be used again. */
+  /** The run certainly did not take place, so the key may be used again. */
   | { readonly kind: "not-run" }
-  /** It may have run. */
+  /** The run may or may not have taken place. */
   | { readonly kind: "unknown" };
 
-/** A run that wants to begin. */
+/** A request to begin a run. */
 export interface Run {
   readonly key: RunKey;
-  /** Hash of the request, so that another body under the key is refused. */
+  /** Hash of the request. A request with another hash under the same key is refused. */
   readonly bodyHash: string;
   readonly attempt: AttemptId;
+  /** Incarnation of the instance that runs the attempt. */
   readonly holder: Incarnation;
-  /** When the request is due, in milliseconds since the epoch. */
+  /** Deadline of the request, in milliseconds since the epoch. */
   readonly dueMs: number;
 }
 
-/** What the journal holds of a run. */
+/** What the journal records of a run. */
 export interface RunRecord extends Run {
+  /** Time at which the run was granted, in milliseconds since the epoch. */
   readonly begunMs: number;
-  /** `undefined` while it runs. */
+  /** End of the run; `undefined` as long as none is recorded. */
   readonly end: RunEnd | undefined;
 }
 
-/** The answer to one that wants to begin a run. */
+/** The journal's answer to a request to begin a run. */
 export type BeginOutcome =
-  /** The entry is in: this attempt, and no other, may dispatch. */
+  /** The record is stored: this attempt, and no other, may be dispatched. */
   | { readonly kind: "granted" }
+  /** The run took place, and its answer is stored. */
   | { readonly kind: "kept"; readonly answer: KeptAnswer }
+  /** The run took place, but its answer is not stored. */
   | { readonly kind: "not-kept" }
+  /** Another attempt under the key may still be running. */
   | { readonly kind: "in-progress" }
+  /** The run may have taken place; its end is not known. */
   | { readonly kind: "unknown" }
+  /** The key belongs to another request. */
   | { readonly kind: "mismatch" };
 
-/** What to do about a run that wants to begin. */
+/** What to do about a request to begin a run. */
 export type BeginDecision =
-  /** Write the record, and dispatch only when the write is known to be in. */
+  /** Write a record, and dispatch only once the store is known to hold it. */
   | { readonly kind: "claim" }
   | BeginOutcome;
 
-/** How long after its deadline a run without an end counts as running. */
-export const END_MARGIN_MS = 5_000;
+/** How long after its deadline a run without an end still counts as running, in milliseconds. */
+export const RUN_DEADLINE_GRACE_MS = 5_000;
 
-/** Optional parts of a decision. */
+/** Options of {@linkcode decideBegin}. */
 export interface DecideBeginOptions {
-  /** Whether a holder is known to be gone. Default: never. */
+  /** Returns whether a holder is known to be dead. Default: always `false`. */
   readonly isGone?: (holder: Incarnation) => boolean;
 }
 
 /**
- * Decides whether a run may begin, from what the journal holds under its key.
+ * Decides whether a run may begin, from the record that the journal has under
+ * its key.
  *
- * @param known What is held; `undefined` for nothing.
- * @param run The run that wants to begin.
- * @param nowMs Time now.
- * @param options Knowledge of holders.
+ * @param existing Record under the key; `undefined` if there is none.
+ * @param run The run to begin.
+ * @param nowMs Current time, in milliseconds since the epoch.
+ * @param options Which holders are dead.
  */
 export function decideBegin(
-  known: RunRecord | undefined,
+  existing: RunRecord | undefined,
   run: Run,
   nowMs: number,
   options: DecideBeginOptions = {},
 ): BeginDecision {
-  if (known === undefined) return { kind: "claim" };
-  if (known.attempt === run.attempt && known.end === undefined) {
+  if (existing === undefined) return { kind: "claim" };
+  if (existing.attempt === run.attempt && existing.end === undefined) {
     return { kind: "granted" };
   }
-  if (known.bodyHash !== run.bodyHash) return { kind: "mismatch" };
-  if (known.end === undefined) {
-    const isGone = options.isGone?.(known.holder) ?? false;
-    const isOver = isGone || nowMs > known.dueMs + END_MARGIN_MS;
-    return isOver ? { kind: "unknown" } : { kind: "in-progress" };
+  if (existing.bodyHash !== run.bodyHash) return { kind: "mismatch" };
+  if (existing.end === undefined) {
+    const isHolderDead = options.isGone?.(existing.holder) ?? false;
+    const isAbandoned = isHolderDead ||
+      nowMs > existing.dueMs + RUN_DEADLINE_GRACE_MS;
+    return isAbandoned ? { kind: "unknown" } : { kind: "in-progress" };
   }
-  switch (known.end.kind) {
+  switch (existing.end.kind) {
     case "not-run":
-      return known.attempt === run.attempt
+      return existing.attempt === run.attempt
         ? { kind: "unknown" }
         : { kind: "claim" };
     case "unknown":
       return { kind: "unknown" };
     case "ran":
-      return known.end.answer === undefined
+      return existing.end.answer === undefined
         ? { kind: "not-kept" }
-        : { kind: "kept", answer: known.end.answer };
+        : { kind: "kept", answer: existing.end.answer };
   }
 }
 
 /**
- * Returns the record with its end; `undefined` where the end must not be
- * written: it is not of this attempt, or there is one already.
+ * Returns the record with its end added; `undefined` if the end must not be
+ * written because there is no record, the record belongs to another attempt, or
+ * it has an end already.
  *
- * @param known What is held.
- * @param attempt Whose end it is.
- * @param end How it ended.
+ * @param existing Record under the key; `undefined` if there is none.
+ * @param attempt Attempt that ended.
+ * @param end How the attempt ended.
  */
 export function applyEnd(
-  known: RunRecord | undefined,
+  existing: RunRecord | undefined,
   attempt: AttemptId,
   end: RunEnd,
 ): RunRecord | undefined {
   if (
-    known === undefined || known.attempt !== attempt || known.end !== undefined
+    existing === undefined || existing.attempt !== attempt ||
+    existing.end !== undefined
   ) {
     return undefined;
   }
-  return { ...known, end };
+  return { ...existing, end };
 }
--- a/run_journal/shard_writer.ts
+++ b/run_journal/shard_writer.ts
@@ -12,12 +12,13 @@
   type RunRecord,
 } from "./run_record.ts";
 
-/** A part of a shard in one value of the store. */
+/** A part of a shard, stored in one value of the store. */
 interface Segment {
   readonly number: number;
-  /** No more is written to it; the next one goes on. */
+  /** Whether the segment is closed to writes, which then go to the next segment. */
   readonly isSealed: boolean;
   readonly records: readonly RunRecord[];
+  /** Ids of the last writes, by which a writer finds a write whose response was lost. */
   readonly changeIds: readonly string[];
 }
 
@@ -36,22 +37,23 @@
     triesLeft: number;
   };
 
-/** What a writer is created from. */
+/** What a {@linkcode ShardWriter} is created from. */
 export interface ShardWriterParts {
   readonly store: Store;
   readonly clock: Clock;
   readonly random: Random;
   /** Prefix of the shard's keys, ending in a slash. */
   readonly prefix: string;
+  /** Returns whether a holder is known to be dead. */
   readonly isGone: (holder: Incarnation) => boolean;
 }
 
-/** Optional parts of a writer. */
+/** Options of a {@linkcode ShardWriter}. */
 export interface ShardWriterOptions {
-  /** Pause that gathers begins into one write, in milliseconds. Default: 2. */
+  /** Delay before a write, during which more operations join it, in milliseconds. Default: 2. */
   readonly gatherMs?: number;
-  /** Longest that ends wait for a begin to travel with, in milliseconds. Default: 200. */
-  readonly finishDelayMs?: number;
+  /** Maximum time that ends wait to be written together with a begin, in milliseconds. Default: 200. */
+  readonly maxFinishDelayMs?: number;
   /** Size at which a segment is sealed, in bytes. Default: 16,000. */
   readonly segmentBytes?: number;
   /** How long records are kept, in milliseconds. Default: one hour. */
@@ -62,73 +64,75 @@
 const DEFAULT_FINISH_DELAY_MS = 200;
 const DEFAULT_SEGMENT_BYTES = 16_000;
 const DEFAULT_RETENTION_MS = 3_600_000;
-const KEPT_CHANGE_IDS = 8;
+const MAX_CHANGE_IDS = 8;
 const MAX_TRIES = 6;
-const FINISH_TRIES = 30;
-const FINISH_PAUSE_MS = 1_000;
+const MAX_FINISH_TRIES = 30;
+const FINISH_RETRY_DELAY_MS = 1_000;
 
 /**
- * Writes one shard of the run journal: many begins and ends in one
- * compare-and-swap of the shard's open segment. Whoever writes must know the
- * whole shard, and the swap fails if anyone else has written since: so any
- * number of writers is safe, and one coordinator at a time is merely fast.
+ * Writes one shard of the run journal, many begins and ends in one
+ * compare-and-swap of the shard's open segment. A writer must have read the whole
+ * shard, and the swap fails if another writer has written since. So any number of
+ * writers is safe; a single coordinator is only faster.
  */
 export class ShardWriter {
-  /** Writes made, and operations that they carried. */
+  /** Numbers of writes sent to the store, operations committed, and conflicts with other writers. */
   readonly counts = { writes: 0, operations: 0, conflicts: 0 };
   readonly #parts: ShardWriterParts;
   readonly #options: Required<ShardWriterOptions>;
   readonly #records = new Map<RunKey, RunRecord>();
-  #segments: number[] = [];
-  #open: Segment = createSegment(0);
+  #sealedNumbers: number[] = [];
+  #openSegment: Segment = createSegment(0);
   #openRevision = 0;
   #isLoaded = false;
   #pending: Operation[] = [];
   #isRunning = false;
-  #urgent: (() => void) | undefined;
+  #endFinishDelay: (() => void) | undefined;
 
   /**
    * @param parts Store, clock, random source and prefix.
-   * @param options Sizes and pauses.
+   * @param options Sizes and delays.
    */
   constructor(parts: ShardWriterParts, options: ShardWriterOptions = {}) {
     this.#parts = parts;
     this.#options = {
       gatherMs: options.gatherMs ?? DEFAULT_GATHER_MS,
-      finishDelayMs: options.finishDelayMs ?? DEFAULT_FINISH_DELAY_MS,
+      maxFinishDelayMs: options.maxFinishDelayMs ?? DEFAULT_FINISH_DELAY_MS,
       segmentBytes: options.segmentBytes ?? DEFAULT_SEGMENT_BYTES,
       retentionMs: options.retentionMs ?? DEFAULT_RETENTION_MS,
     };
   }
 
-  /** Records held in memory. */
+  /** Number of records in memory. */
   get recordCount(): number {
     return this.#records.size;
   }
 
   /**
-   * Asks to begin a run; resolves when the write that carries it is known to be in.
+   * Asks to begin a run. Resolves when the write that contains the run is known to
+   * be stored, or when the run is refused.
    *
    * @param run The run.
    */
   begin(run: Run): Promise<Result<BeginOutcome, Failure>> {
     return new Promise((settle) => {
       this.#pending.push({ kind: "begin", run, settle });
-      this.#urgent?.();
-      void this.#run();
+      this.#endFinishDelay?.();
+      void this.#processPending();
     });
   }
 
   /**
-   * Records an end; resolves when it is in, or was given up.
+   * Records an end. Resolves when the end is stored, or when the writer has given
+   * up on storing it.
    *
    * @param key Key of the run.
-   * @param attempt Whose end it is.
-   * @param end How it ended.
+   * @param attempt Attempt that ended.
+   * @param end How the attempt ended.
    */
   finish(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
     return new Promise((settle) => {
-      const triesLeft = FINISH_TRIES;
+      const triesLeft = MAX_FINISH_TRIES;
       this.#pending.push({
         kind: "finish",
         key,
@@ -137,37 +141,41 @@
         settle,
         triesLeft,
       });
-      void this.#run();
+      void this.#processPending();
     });
   }
 
-  async #run(): Promise<void> {
+  async #processPending(): Promise<void> {
     if (this.#isRunning) return;
     this.#isRunning = true;
     while (this.#pending.length > 0) {
-      await this.#gather();
+      await this.#waitForBatch();
       const batch = this.#pending;
       this.#pending = [];
-      await this.#commit(batch);
+      await this.#commitBatch(batch);
     }
     this.#isRunning = false;
   }
 
-  async #gather(): Promise<void> {
+  async #waitForBatch(): Promise<void> {
     const { clock } = this.#parts;
     const hasBegin = this.#pending.some(({ kind }) => kind === "begin");
     if (!hasBegin) {
-      const early = new AbortController();
-      this.#urgent = () => early.abort();
-      await waitFor(clock, this.#options.finishDelayMs, early.signal);
-      this.#urgent = undefined;
+      const delayController = new AbortController();
+      this.#endFinishDelay = () => delayController.abort();
+      await waitFor(
+        clock,
+        this.#options.maxFinishDelayMs,
+        delayController.signal,
+      );
+      this.#endFinishDelay = undefined;
     }
     if (this.#options.gatherMs > 0) {
       await waitFor(clock, this.#options.gatherMs);
     }
   }
 
-  async #commit(batch: readonly Operation[]): Promise<void> {
+  async #commitBatch(batch: readonly Operation[]): Promise<void> {
     let failure: StoreFailure = {
       kind: "unavailable",
       message: "no try was made",
@@ -178,10 +186,10 @@
         failure = loaded.error;
         break;
       }
-      const plan = this.#plan(batch);
+      const plan = this.#planBatch(batch);
       const written = plan.changed.length === 0
         ? ok(true)
-        : await this.#write(plan.changed);
+        : await this.#appendRecords(plan.changed);
       if (written.isErr()) {
         failure = written.error;
         this.#isLoaded = false;
@@ -198,29 +206,32 @@
       await this.#prune();
       return;
     }
-    this.#fail(batch, failure);
+    this.#failBatch(batch, failure);
   }
 
-  /** Works out which records a batch changes; later operations see earlier ones. */
-  #plan(
+  /** Returns the records that a batch changes. Later operations see the changes of earlier ones. */
+  #planBatch(
     batch: readonly Operation[],
   ): { readonly changed: readonly RunRecord[]; readonly settle: () => void } {
     const { clock, isGone } = this.#parts;
     const nowMs = clock.nowMs();
     const changed = new Map<RunKey, RunRecord>();
-    const read = (key: RunKey) => changed.get(key) ?? this.#records.get(key);
-    const settles = batch.map((operation) => {
+    const readRecord = (key: RunKey) =>
+      changed.get(key) ?? this.#records.get(key);
+    const completions = batch.map((operation) => {
       switch (operation.kind) {
         case "begin": {
           const { run, settle } = operation;
-          const decision = decideBegin(read(run.key), run, nowMs, { isGone });
+          const decision = decideBegin(readRecord(run.key), run, nowMs, {
+            isGone,
+          });
           if (decision.kind !== "claim") return () => settle(ok(decision));
           changed.set(run.key, { ...run, begunMs: nowMs, end: undefined });
           return () => settle(ok({ kind: "granted" }));
         }
         case "finish": {
           const { key, attempt, end, settle } = operation;
-          const record = applyEnd(read(key), attempt, end);
+          const record = applyEnd(readRecord(key), attempt, end);
           if (record !== undefined) changed.set(key, record);
           return settle;
         }
@@ -228,19 +239,21 @@
     });
     return {
       changed: [...changed.values()],
-      settle: () => settles.forEach((settle) => settle()),
+      settle: () => completions.forEach((settle) => settle()),
     };
   }
 
-  /** Returns whether the write is in; `false` after a conflict. */
-  async #write(
+  /** Returns `true` if the records are stored, and `false` after a conflict. */
+  async #appendRecords(
     changed: readonly RunRecord[],
   ): Promise<Result<boolean, StoreFailure>> {
     const changeId = createToken(this.#parts.random);
     const segment: Segment = {
-      ...this.#open,
-      records: [...this.#open.records, ...changed],
-      changeIds: [...this.#open.changeIds, changeId].slice(-KEPT_CHANGE_IDS),
+      ...this.#openSegment,
+      records: [...this.#openSegment.records, ...changed],
+      changeIds: [...this.#openSegment.changeIds, changeId].slice(
+        -MAX_CHANGE_IDS,
+      ),
     };
     const written = await this.#writeSegment(segment, changeId);
     if (written.isErr() || !written.value) return written;
@@ -252,7 +265,7 @@
     changeId: string,
   ): Promise<Result<boolean, StoreFailure>> {
     const { store, clock } = this.#parts;
-    const key = this.#toKey(segment.number);
+    const key = this.#toSegmentKey(segment.number);
     const value = JSON.stringify(segment);
     const expectedRevision = this.#openRevision;
     const options = { callClass: "journal" } as const;
@@ -264,7 +277,7 @@
         options,
       );
       if (swapped.isOk() && swapped.value.kind === "written") {
-        this.#open = segment;
+        this.#openSegment = segment;
         this.#openRevision = swapped.value.revision;
         return ok(true);
       }
@@ -272,7 +285,7 @@
         return err(swapped.error);
       }
       if (swapped.isOk() && !isUncertain) return ok(false);
-      // The end of some try is not known: look for its change id.
+      // A write may be stored although its response was lost: look for the change id.
       isUncertain = true;
       const read = await store.read(key, options);
       if (read.isErr()) {
@@ -282,9 +295,9 @@
       if (
         read.value !== undefined && read.value.revision !== expectedRevision
       ) {
-        const found = JSON.parse(read.value.value) as Segment;
-        if (!found.changeIds.includes(changeId)) return ok(false);
-        this.#open = found;
+        const stored = JSON.parse(read.value.value) as Segment;
+        if (!stored.changeIds.includes(changeId)) return ok(false);
+        this.#openSegment = stored;
         this.#openRevision = read.value.revision;
         return ok(true);
       }
@@ -295,26 +308,31 @@
     });
   }
 
-  /** A segment is sealed before the next one is opened, so that no writer misses the next one. */
+  /** Seals the open segment before the next one is created, so that no writer misses the next one. */
   async #sealIfFull(): Promise<Result<boolean, StoreFailure>> {
-    const size = JSON.stringify(this.#open.records).length;
+    const size = JSON.stringify(this.#openSegment.records).length;
     if (size < this.#options.segmentBytes) return ok(true);
     const changeId = createToken(this.#parts.random);
-    const sealed = { ...this.#open, isSealed: true, changeIds: [changeId] };
+    const sealed = {
+      ...this.#openSegment,
+      isSealed: true,
+      changeIds: [changeId],
+    };
     const startMs = this.#parts.clock.nowMs();
     const isSealed = (await this.#writeSegment(sealed, changeId)).unwrapOr(
       false,
     );
     const next = sealed.number + 1;
-    const created = isSealed ? await this.#createOpen(next) : undefined;
-    const tookMs = this.#parts.clock.nowMs() - startMs;
-    // What was committed stays committed, whatever became of the seal. Only a
-    // quick creation cannot have hit a place that was filled and pruned since.
+    const created = isSealed ? await this.#createOpenSegment(next) : undefined;
+    const elapsedMs = this.#parts.clock.nowMs() - startMs;
+    // The records are stored even if sealing failed. After a slow creation the
+    // shard is read again: the key may have been free only because another writer
+    // had filled that segment, and then pruned it, in the meantime.
     this.#isLoaded = false;
     if (created?.isOk() && created.value.kind === "written") {
-      if (tookMs < this.#options.retentionMs / 2) {
-        this.#segments.push(sealed.number);
-        this.#open = createSegment(next);
+      if (elapsedMs < this.#options.retentionMs / 2) {
+        this.#sealedNumbers.push(sealed.number);
+        this.#openSegment = createSegment(next);
         this.#openRevision = created.value.revision;
         this.#isLoaded = true;
       }
@@ -323,9 +341,9 @@
   }
 
   /**
-   * Reads the whole shard. A new segment is created empty and the shard is read
-   * again before anything is written to it: so a writer that was paused for long
-   * cannot mistake a pruned place in the order for a new one.
+   * Reads the whole shard. If it has no open segment, creates an empty one and
+   * reads the shard again before any record is written. So a writer that was paused
+   * for a long time cannot mistake the number of a pruned segment for an unused one.
    */
   async #load(): Promise<Result<void, StoreFailure>> {
     if (this.#isLoaded) return ok(undefined);
@@ -339,10 +357,12 @@
       }));
       const last = segments.at(-1);
       if (last !== undefined && !last.segment.isSealed) {
-        this.#take(segments);
+        this.#replaceCache(segments);
         return ok(undefined);
       }
-      const created = await this.#createOpen((last?.segment.number ?? -1) + 1);
+      const created = await this.#createOpenSegment(
+        (last?.segment.number ?? -1) + 1,
+      );
       if (created.isErr() && created.error.kind !== "unknown") {
         return err(created.error);
       }
@@ -353,16 +373,20 @@
     });
   }
 
-  async #createOpen(
+  async #createOpenSegment(
     number: number,
   ): Promise<Result<SwapOutcome, StoreFailure>> {
     this.counts.writes++;
     const value = JSON.stringify(createSegment(number));
-    const creation = { key: this.#toKey(number), expectedRevision: 0, value };
+    const creation = {
+      key: this.#toSegmentKey(number),
+      expectedRevision: 0,
+      value,
+    };
     return await this.#parts.store.swap(creation, { callClass: "journal" });
   }
 
-  #take(
+  #replaceCache(
     segments: readonly {
       readonly segment: Segment;
       readonly revision: number;
@@ -371,41 +395,43 @@
     this.#records.clear();
     segments.flatMap(({ segment }) => segment.records)
       .forEach((record) => this.#records.set(record.key, record));
-    this.#segments = segments.filter(({ segment }) => segment.isSealed)
+    this.#sealedNumbers = segments.filter(({ segment }) => segment.isSealed)
       .map(({ segment }) => segment.number);
     const open = segments.at(-1)!;
-    this.#open = open.segment;
+    this.#openSegment = open.segment;
     this.#openRevision = open.revision;
     this.#isLoaded = true;
   }
 
-  /** Deletes the oldest sealed segment once all its records are past their retention. */
+  /** Deletes the oldest sealed segment once the retention of all its records has passed. */
   async #prune(): Promise<void> {
     const { store, clock } = this.#parts;
-    const number = this.#segments[0];
-    if (number === undefined || this.#segments.length < 2) return;
-    const oldestMs = clock.nowMs() - this.#options.retentionMs;
+    const number = this.#sealedNumbers[0];
+    if (number === undefined || this.#sealedNumbers.length < 2) return;
+    const cutoffMs = clock.nowMs() - this.#options.retentionMs;
     const first = this.#records.values().next().value;
-    if (first !== undefined && first.begunMs >= oldestMs) return;
-    const read = await store.read(this.#toKey(number), { callClass: "batch" });
+    if (first !== undefined && first.begunMs >= cutoffMs) return;
+    const read = await store.read(this.#toSegmentKey(number), {
+      callClass: "batch",
+    });
     if (read.isErr() || read.value === undefined) return;
     const segment = JSON.parse(read.value.value) as Segment;
-    if (segment.records.some(({ begunMs }) => begunMs >= oldestMs)) return;
+    if (segment.records.some(({ begunMs }) => begunMs >= cutoffMs)) return;
     const deletion = {
-      key: this.#toKey(number),
+      key: this.#toSegmentKey(number),
       expectedRevision: read.value.revision,
       value: undefined,
     };
     const swapped = await store.swap(deletion, { callClass: "batch" });
     if (swapped.isErr() || swapped.value.kind !== "written") return;
-    this.#segments.shift();
+    this.#sealedNumbers.shift();
     segment.records.filter(({ key, begunMs }) =>
       this.#records.get(key)?.begunMs === begunMs
     )
       .forEach(({ key }) => this.#records.delete(key));
   }
 
-  #fail(batch: readonly Operation[], failure: StoreFailure): void {
+  #failBatch(batch: readonly Operation[], failure: StoreFailure): void {
     const message = `Cannot journal the run: ${failure.message}`;
     const refusal = createFailure("JOURNAL_UNAVAILABLE", message, {
       retryAfterMs: 1_000,
@@ -413,7 +439,7 @@
     batch.forEach((operation) => {
       if (operation.kind === "begin") {
         operation.settle(err(refusal));
-        // The entry may be in all the same: say that it did not run.
+        // The record may be stored nevertheless, so record that the attempt did not run.
         if (failure.kind === "unknown") {
           void this.finish(operation.run.key, operation.run.attempt, {
             kind: "not-run",
@@ -421,20 +447,20 @@
         }
         return;
       }
-      this.#finishLater(operation);
+      this.#retryFinishLater(operation);
     });
   }
 
-  #finishLater(operation: Extract<Operation, { kind: "finish" }>): void {
+  #retryFinishLater(operation: Extract<Operation, { kind: "finish" }>): void {
     operation.triesLeft--;
     if (operation.triesLeft <= 0) return operation.settle();
-    this.#parts.clock.schedule(FINISH_PAUSE_MS, () => {
+    this.#parts.clock.schedule(FINISH_RETRY_DELAY_MS, () => {
       this.#pending.push(operation);
-      void this.#run();
+      void this.#processPending();
     });
   }
 
-  #toKey(number: number): string {
+  #toSegmentKey(number: number): string {
     return `${this.#parts.prefix}${String(number).padStart(10, "0")}`;
   }
 }
--- a/run_journal/shard_writer_test.ts
+++ b/run_journal/shard_writer_test.ts
@@ -11,23 +11,23 @@
   answer: { status: 200, contentType: "text/plain", body: "done" },
 };
 
-function createWorld(options: ShardWriterOptions = {}) {
+function createFixture(options: ShardWriterOptions = {}) {
   const clock = new VirtualClock();
   const store = new MemoryStore(clock);
-  let gone = "";
+  let deadHolder = "";
   const createWriter = (seed: number) =>
     new ShardWriter({
       store,
       clock,
       random: createRandom(seed),
       prefix: "/shard/",
-      isGone: (holder) => holder === gone,
+      isGone: (holder) => holder === deadHolder,
     }, options);
   return {
     clock,
     store,
     createWriter,
-    setGone: (holder: string) => (gone = holder),
+    setDeadHolder: (holder: string) => (deadHolder = holder),
   };
 }
 
@@ -66,8 +66,8 @@
 
 describe("ShardWriter", () => {
   describe("when a key is used again", () => {
-    it("grants the first, says in progress, then returns the kept answer", async () => {
-      const { clock, createWriter } = createWorld();
+    it("grants the first run, refuses the second as in progress, then returns the stored answer", async () => {
+      const { clock, createWriter } = createFixture();
       const writer = createWriter(1);
       assert.equal(await begin(clock, writer, createRun("a")), "granted");
       assert.equal(await begin(clock, writer, createRun("b")), "in-progress");
@@ -78,16 +78,16 @@
       assert.equal(await begin(clock, writer, createRun("c")), "kept");
     });
 
-    it("refuses another body", async () => {
-      const { clock, createWriter } = createWorld();
+    it("refuses a request with another body", async () => {
+      const { clock, createWriter } = createFixture();
       const writer = createWriter(1);
       await begin(clock, writer, createRun("a"));
       const other = createRun("b", { bodyHash: "other" });
       assert.equal(await begin(clock, writer, other), "mismatch");
     });
 
-    it("grants it anew after an end of not-run, and never after an end of unknown", async () => {
-      const { clock, createWriter } = createWorld();
+    it("grants it again after an end of kind not-run, but not after one of kind unknown", async () => {
+      const { clock, createWriter } = createFixture();
       const writer = createWriter(1);
       const { key } = createRun("a");
       await begin(clock, writer, createRun("a"));
@@ -104,22 +104,22 @@
     });
   });
 
-  describe("when the holder is gone, or its deadline is long past", () => {
-    it("says unknown and does not grant", async () => {
-      const { clock, createWriter, setGone } = createWorld();
+  describe("when the holder is dead, or the deadline passed long ago", () => {
+    it("answers unknown and does not grant the run", async () => {
+      const { clock, createWriter, setDeadHolder } = createFixture();
       const writer = createWriter(1);
       await begin(clock, writer, createRun("a"));
-      setGone("holder-a");
+      setDeadHolder("holder-a");
       assert.equal(await begin(clock, writer, createRun("b")), "unknown");
-      setGone("");
+      setDeadHolder("");
       await clock.advance(120_000);
       assert.equal(await begin(clock, writer, createRun("b")), "unknown");
     });
   });
 
-  describe("when two writers do not know of each other", () => {
-    it("grants the key to one of them", async () => {
-      const { clock, createWriter } = createWorld();
+  describe("when two writers of a shard are unaware of each other", () => {
+    it("grants the key to only one of them", async () => {
+      const { clock, createWriter } = createFixture();
       const [first, second] = [createWriter(1), createWriter(2)];
       const outcomes = await Promise.all([
         begin(clock, first, createRun("a")),
@@ -128,8 +128,8 @@
       assert.deepEqual(outcomes.toSorted(), ["granted", "in-progress"]);
     });
 
-    it("holds for a writer that was paused over many segments and their pruning", async () => {
-      const { clock, store, createWriter } = createWorld({
+    it("does not grant a key again to a writer that was paused while segments were filled and pruned", async () => {
+      const { clock, store, createWriter } = createFixture({
         segmentBytes: 400,
         retentionMs: 10_000,
       });
@@ -155,8 +155,8 @@
   });
 
   describe("when the store fails", () => {
-    it("finds its write after a lost answer, and grants once", async () => {
-      const { clock, store, createWriter } = createWorld();
+    it("finds its write after the store's response was lost, and grants the key once", async () => {
+      const { clock, store, createWriter } = createFixture();
       const writer = createWriter(1);
       await begin(
         clock,
@@ -171,8 +171,8 @@
       );
     });
 
-    it("writes again after a lost request", async () => {
-      const { clock, store, createWriter } = createWorld();
+    it("repeats a write whose request was lost", async () => {
+      const { clock, store, createWriter } = createFixture();
       const writer = createWriter(1);
       await begin(
         clock,
@@ -183,8 +183,8 @@
       assert.equal(await begin(clock, writer, createRun("a")), "granted");
     });
 
-    it("refuses while it is down, and the key is free after", async () => {
-      const { clock, store, createWriter } = createWorld();
+    it("refuses runs during an outage, and grants the key afterwards", async () => {
+      const { clock, store, createWriter } = createFixture();
       const writer = createWriter(1);
       store.setDown(true);
       assert.equal(
@@ -195,8 +195,8 @@
       assert.equal(await begin(clock, writer, createRun("b")), "granted");
     });
 
-    it("records an end that came during an outage when it is over", async () => {
-      const { clock, store, createWriter } = createWorld();
+    it("records an end that was reported during an outage once the outage is over", async () => {
+      const { clock, store, createWriter } = createFixture();
       const writer = createWriter(1);
       await begin(clock, writer, createRun("a"));
       store.setDown(true);
--- a/run_journal/sharded_journal.ts
+++ b/run_journal/sharded_journal.ts
@@ -8,21 +8,26 @@
 import type { BeginOutcome, Run, RunEnd } from "./run_record.ts";
 import { ShardWriter, type ShardWriterOptions } from "./shard_writer.ts";
 
-/** What a peer answers to a begin; `undefined` when it could not be asked. */
-export type RemoteBegin = Result<BeginOutcome, Failure> | undefined;
+/** A coordinator's answer to a begin; `undefined` if it could not be reached. */
+export type RemoteBeginResult = Result<BeginOutcome, Failure> | undefined;
 
-/** What a sharded journal is created from. */
+/** What a {@linkcode ShardedJournal} is created from. */
 export interface ShardedJournalParts {
   readonly store: Store;
   readonly clock: Clock;
   readonly random: Random;
+  /** Id of this instance. */
   readonly self: InstanceId;
-  /** Instances that may coordinate shards, with the own one; only those of a region, if one is named. */
+  /**
+   * Lists the instances that may coordinate shards, including this one. If a
+   * region is given, only those of the region.
+   */
   readonly readLive: (region?: string) => readonly InstanceId[];
+  /** Returns whether a holder is known to be dead. */
   readonly isGone: (holder: Incarnation) => boolean;
-  /** Asks the coordinator of a shard. */
-  readonly beginAt: (to: InstanceId, run: Run) => Promise<RemoteBegin>;
-  /** Tells the coordinator of a shard; `false` when it could not be told. */
+  /** Asks the coordinator of a shard to begin a run. */
+  readonly beginAt: (to: InstanceId, run: Run) => Promise<RemoteBeginResult>;
+  /** Reports an end to the coordinator of a shard; `false` if it could not be reached. */
   readonly finishAt: (
     to: InstanceId,
     end: {
@@ -33,22 +38,28 @@
   ) => Promise<boolean>;
 }
 
-/** Optional parts of a sharded journal. */
+/** Options of a {@linkcode ShardedJournal}. */
 export interface ShardedJournalOptions extends ShardWriterOptions {
-  /** Shards of each group; the same at all instances for ever. Default: 4. */
+  /**
+   * Number of shards of each group. It must be the same at all instances and never
+   * change. Default: 4.
+   */
   readonly shards?: number;
 }
 
 const DEFAULT_SHARDS = 4;
-/** Groups of shards that home regions fall into; their number bounds what callers can create. */
-const GROUPS = 64;
-const PREFIX = "/havenspur/journal/shard/";
+/**
+ * Number of groups of shards that home regions are hashed into. Callers choose the
+ * home regions of their keys, so a fixed number bounds the shards they can create.
+ */
+const SHARD_GROUPS = 64;
+const SHARD_KEY_PREFIX = "/havenspur/journal/shard/";
 
 /**
- * The run journal in shards. Live instances agree by rendezvous on who
- * coordinates a shard, which gathers writes; where they do not agree, or the
- * coordinator is out of reach, an instance writes itself, and the store's
- * compare-and-swap decides.
+ * A run journal in shards. Rendezvous hashing over the live instances gives each
+ * shard a coordinator, which batches the writes of the shard. Where instances
+ * disagree on the coordinator, or it cannot be reached, an instance writes to the
+ * shard itself, and the store's compare-and-swap decides.
  */
 export class ShardedJournal implements RunJournal {
   readonly #parts: ShardedJournalParts;
@@ -56,15 +67,15 @@
   readonly #writers = new Map<string, ShardWriter>();
 
   /**
-   * @param parts Store, clock, own name and ways to the peers.
-   * @param options Number of shards, sizes and pauses.
+   * @param parts Store, clock, id of this instance and calls to its peers.
+   * @param options Number of shards, sizes and delays.
    */
   constructor(parts: ShardedJournalParts, options: ShardedJournalOptions = {}) {
     this.#parts = parts;
     this.#options = options;
   }
 
-  /** Records held in memory by this instance. */
+  /** Number of records that this instance has in memory. */
   get recordCount(): number {
     return [...this.#writers.values()].reduce(
       (sum, { recordCount }) => sum + recordCount,
@@ -81,38 +92,41 @@
 
   async finish(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
     const coordinator = this.#pickCoordinator(key);
-    const isHere = coordinator === this.#parts.self;
+    const isCoordinator = coordinator === this.#parts.self;
     if (
-      !isHere && await this.#parts.finishAt(coordinator, { key, attempt, end })
+      !isCoordinator &&
+      await this.#parts.finishAt(coordinator, { key, attempt, end })
     ) return;
-    await this.#readWriter(key).finish(key, attempt, end);
+    await this.#ensureWriter(key).finish(key, attempt, end);
   }
 
-  /** Begins a run as the coordinator of its shard, or in its place. */
+  /** Begins a run at this instance, as the coordinator of its shard or in the coordinator's place. */
   beginHere(run: Run): Promise<Result<BeginOutcome, Failure>> {
-    return this.#readWriter(run.key).begin(run);
+    return this.#ensureWriter(run.key).begin(run);
   }
 
-  /** Records an end as the coordinator of its shard, or in its place. */
+  /** Records an end at this instance, as the coordinator of its shard or in the coordinator's place. */
   finishHere(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
-    return this.#readWriter(key).finish(key, attempt, end);
+    return this.#ensureWriter(key).finish(key, attempt, end);
   }
 
-  /** Where a key names its home region, an instance of that region coordinates it. */
+  /** If a key names a home region that has live instances, one of them coordinates its shard. */
   #pickCoordinator(key: RunKey): InstanceId {
     const home = readHomeRegion(key);
-    const near = home === undefined ? [] : this.#parts.readLive(home);
-    const candidates = near.length > 0 ? near : this.#parts.readLive();
-    return rankNames(`journal ${this.#toShard(key)}`, candidates)[0] ??
+    const homeInstances = home === undefined ? [] : this.#parts.readLive(home);
+    const candidates = homeInstances.length > 0
+      ? homeInstances
+      : this.#parts.readLive();
+    return rankNames(`journal ${this.#toShardName(key)}`, candidates)[0] ??
       this.#parts.self;
   }
 
-  #readWriter(key: RunKey): ShardWriter {
-    const shard = this.#toShard(key);
-    const known = this.#writers.get(shard);
-    if (known !== undefined) return known;
+  #ensureWriter(key: RunKey): ShardWriter {
+    const shard = this.#toShardName(key);
+    const existing = this.#writers.get(shard);
+    if (existing !== undefined) return existing;
     const { store, clock, random, isGone } = this.#parts;
-    const prefix = `${PREFIX}${shard}/`;
+    const prefix = `${SHARD_KEY_PREFIX}${shard}/`;
     const writer = new ShardWriter(
       { store, clock, random, prefix, isGone },
       this.#options,
@@ -121,12 +135,12 @@
     return writer;
   }
 
-  /** From the key alone, so that it is the same everywhere and always. */
-  #toShard(key: RunKey): string {
+  /** Depends on the key alone, so that a key is in the same shard at all instances and times. */
+  #toShardName(key: RunKey): string {
     const home = readHomeRegion(key);
     const group = home === undefined
       ? 0
-      : 1 + computeWeight("group", home) % GROUPS;
+      : 1 + computeWeight("group", home) % SHARD_GROUPS;
     const shard = computeWeight("shard", key) %
       (this.#options.shards ?? DEFAULT_SHARDS);
     return `${group}-${shard}`;
@@ -134,8 +148,9 @@
 }
 
 /**
- * Returns the region that a key names as its home, in front of a tilde:
- * `recife-a~1234`. It says who coordinates, not who may run it.
+ * Returns the home region that a key names in front of a tilde, such as
+ * `recife-a` in `recife-a~1234`. The home region determines which instance
+ * coordinates the run, not which instances may run it.
  */
 export function readHomeRegion(key: RunKey): string | undefined {
   return /^[^/]+\/([a-z0-9.-]{1,64})~/.exec(key)?.[1];
