--- a/batches/batch_document.ts
+++ b/batches/batch_document.ts
@@ -1,14 +1,14 @@
 import type { ChangeLog } from "../store/mod.ts";
 
-/** One item of a batch, as a caller gives it. */
+/** One item of a batch, as the caller submits it. */
 export interface BatchItem {
-  /** Name that the caller finds its answer by. */
+  /** Name by which the caller finds the answer of the item. */
   readonly custom_id: string;
   /** Path of the call, such as `/v1/chat/completions`. */
   readonly url: string;
   readonly method: "POST" | "PUT" | "PATCH" | "DELETE" | "GET";
   readonly body: Readonly<Record<string, unknown>>;
-  /** Runs at most once, through the run journal. */
+  /** Whether the item must run at most once, which the run journal ensures. */
   readonly non_idempotent: boolean;
 }
 
@@ -19,57 +19,61 @@
   readonly body: unknown;
 }
 
-/** The head of a batch. Once it is in the store, the batch is accepted. */
+/** The head of a batch. A batch is accepted once its head is in the store. */
 export interface BatchHead extends ChangeLog {
   readonly id: string;
   readonly team: string;
-  /** Services that its items call: their residency is that of the batch. */
+  /** Services that the items call. Their residency applies to the batch. */
   readonly services: readonly string[];
+  /** Time of the submission, in milliseconds since the epoch. */
   readonly createdMs: number;
-  /** After it, items that have no answer get a refusal as theirs. */
+  /**
+   * Deadline, in milliseconds since the epoch. Items without an answer at the
+   * deadline get a refusal as their answer.
+   */
   readonly dueMs: number;
   readonly itemCount: number;
-  /** Items of each pack. */
+  /** Number of items in each pack. */
   readonly packSizes: readonly number[];
   readonly state: "open" | "cancelled" | "done";
-  /** When it was done or cancelled. */
+  /** Time at which the batch was done or cancelled, in milliseconds since the epoch; 0 while it is open. */
   readonly endedMs: number;
-  /** Hash of the submission, so that another one under the key is refused. */
+  /** Hash of the submission. A submission with another hash under the same key is refused. */
   readonly bodyHash: string;
 }
 
-/** Some items of a batch, in one value of the store. */
+/** A chunk of the items of a batch, stored in one value of the store. */
 export interface BatchPack {
   readonly items: readonly BatchItem[];
 }
 
-/** The answers to the items of a pack, by their position in it. */
+/** The answers to the items of a pack, by position in the pack. */
 export interface PackAnswers extends ChangeLog {
   readonly answers: Readonly<Record<string, BatchAnswer>>;
 }
 
-/** Prefix of everything of all batches. */
+/** Key prefix of all data of batches except the pointers. */
 export const BATCH_PREFIX = "/havenspur/batch/";
-/** Prefix of the pointers to batches that have ended; the value is when. */
+/** Key prefix of the pointers to ended batches. The value is the time of the end, in milliseconds since the epoch. */
 export const ENDED_PREFIX = "/havenspur/batch-ended/";
-/** Prefix of the pointers to open batches. */
+/** Key prefix of the pointers to open batches. */
 export const OPEN_PREFIX = "/havenspur/batch-open/";
 
-/** Returns the key of the head. */
+/** Returns the key of the head of a batch. */
 export const toHeadKey = (id: string): string => `${BATCH_PREFIX}${id}/head`;
 /** Returns the key of a pack. */
 export const toPackKey = (id: string, pack: number): string =>
-  `${BATCH_PREFIX}${id}/items/${toDigits(pack)}`;
+  `${BATCH_PREFIX}${id}/items/${toPaddedNumber(pack)}`;
 /** Returns the key of the answers to a pack. */
 export const toAnswersKey = (id: string, pack: number): string =>
-  `${toAnswersPrefix(id)}${toDigits(pack)}`;
-/** Returns the prefix of all answers of a batch. */
+  `${toAnswersPrefix(id)}${toPaddedNumber(pack)}`;
+/** Returns the key prefix of all answers of a batch. */
 export const toAnswersPrefix = (id: string): string =>
   `${BATCH_PREFIX}${id}/answers/`;
-/** Returns the key that the claim of a pack is held under. */
+/** Returns the key of the claim on a pack. */
 export const toClaimKey = (id: string, pack: number): string =>
-  `${BATCH_PREFIX}${id}/claims/${toDigits(pack)}`;
+  `${BATCH_PREFIX}${id}/claims/${toPaddedNumber(pack)}`;
 
-function toDigits(pack: number): string {
+function toPaddedNumber(pack: number): string {
   return String(pack).padStart(5, "0");
 }
--- a/batches/batch_store.ts
+++ b/batches/batch_store.ts
@@ -24,29 +24,31 @@
 import { type AnswerMap, mergeAnswers } from "./merge_answers.ts";
 import { splitPacks } from "./split_packs.ts";
 
-/** A batch that is submitted. */
+/** A batch to accept. */
 export interface BatchSubmission {
-  /** The same for the same submission, so that a repeated one finds the first. */
+  /** Id that is equal for equal submissions, so that a repeated submission finds the first. */
   readonly id: string;
   readonly team: string;
   readonly bodyHash: string;
   /** Services that its items call. */
   readonly services: readonly string[];
   readonly items: readonly BatchItem[];
+  /** Time of the submission, in milliseconds since the epoch. */
   readonly createdMs: number;
+  /** Deadline of the batch, in milliseconds since the epoch. */
   readonly dueMs: number;
 }
 
-const OPTIONS = { callClass: "batch" } as const;
+const STORE_OPTIONS = { callClass: "batch" } as const;
 
-/** What batches keep in the store. */
+/** Reads and writes batches in the store. */
 export class BatchStore {
   readonly #store: Store;
   readonly #createChangeId: () => ChangeId;
 
   /**
    * @param store The store.
-   * @param createChangeId Makes ids for writes.
+   * @param createChangeId Creates an id for each write.
    */
   constructor(store: Store, createChangeId: () => ChangeId) {
     this.#store = store;
@@ -54,18 +56,19 @@
   }
 
   /**
-   * Accepts a batch: packs first, then the head. It is accepted when the head
-   * is known to be in; a submission that broke off earlier leaves no batch.
+   * Accepts a batch. Writes the packs first and the head last: the batch is
+   * accepted once the head is known to be stored, and a submission that is
+   * interrupted before that leaves no batch.
    *
-   * @param submission Items and times.
+   * @param submission The batch.
    */
   async submit(
     submission: BatchSubmission,
   ): Promise<Result<BatchHead, Failure>> {
     const { id, items, bodyHash } = submission;
-    const known = await this.readHead(id);
-    if (known.isErr()) return err(toFailure(known.error));
-    if (known.value !== undefined) return checkSame(known.value, bodyHash);
+    const found = await this.readHead(id);
+    if (found.isErr()) return err(toFailure(found.error));
+    if (found.value !== undefined) return checkBodyHash(found.value, bodyHash);
     const packs = splitPacks(items);
     for (const [index, pack] of packs.entries()) {
       const written = await this.#writePack(id, index, pack);
@@ -83,29 +86,30 @@
       endedMs: 0,
       bodyHash,
     };
-    // The pointer goes before the head: one without a head is dropped by whoever finds it.
-    const pointed = await this.#point(id);
-    if (pointed.isErr()) return err(toFailure(pointed.error));
+    // The pointer is written before the head, so that no open batch lacks one. A
+    // pointer without a head is no batch, and workers pass over it.
+    const openPointer = await this.#writeOpenPointer(id);
+    if (openPointer.isErr()) return err(toFailure(openPointer.error));
     const accepted = await writeChange<BatchHead>(this.#store, {
       key: toHeadKey(id),
       changeId: this.#createChangeId(),
       update: (current) => current === undefined ? head : undefined,
-    }, OPTIONS);
+    }, STORE_OPTIONS);
     if (accepted.isErr()) return err(toFailure(accepted.error));
-    return checkSame(accepted.value.document!, bodyHash);
+    return checkBodyHash(accepted.value.document!, bodyHash);
   }
 
   /** Reads the head of a batch. */
   async readHead(
     id: string,
   ): Promise<Result<BatchHead | undefined, StoreFailure>> {
-    const read = await this.#store.read(toHeadKey(id), OPTIONS);
+    const read = await this.#store.read(toHeadKey(id), STORE_OPTIONS);
     return read.map((entry) => entry && JSON.parse(entry.value) as BatchHead);
   }
 
-  /** Returns the ids of batches that are not done. */
+  /** Returns the ids of open batches. */
   async listOpen(): Promise<Result<readonly string[], StoreFailure>> {
-    const read = await this.#store.readPrefix(OPEN_PREFIX, OPTIONS);
+    const read = await this.#store.readPrefix(OPEN_PREFIX, STORE_OPTIONS);
     return read.map((entries) =>
       entries.map(({ key }) => key.slice(OPEN_PREFIX.length))
     );
@@ -116,7 +120,7 @@
     id: string,
     pack: number,
   ): Promise<Result<readonly BatchItem[], StoreFailure>> {
-    const read = await this.#store.read(toPackKey(id, pack), OPTIONS);
+    const read = await this.#store.read(toPackKey(id, pack), STORE_OPTIONS);
     return read.map((entry) =>
       entry === undefined ? [] : (JSON.parse(entry.value) as BatchPack).items
     );
@@ -127,7 +131,7 @@
     id: string,
     pack: number,
   ): Promise<Result<AnswerMap, StoreFailure>> {
-    const read = await this.#store.read(toAnswersKey(id, pack), OPTIONS);
+    const read = await this.#store.read(toAnswersKey(id, pack), STORE_OPTIONS);
     return read.map((entry) =>
       entry === undefined
         ? {}
@@ -135,11 +139,14 @@
     );
   }
 
-  /** Reads all answers of a batch, in order of its items. */
+  /** Reads all answers of a batch, in the order of its items. */
   async readAllAnswers(
     id: string,
   ): Promise<Result<readonly BatchAnswer[], StoreFailure>> {
-    const read = await this.#store.readPrefix(toAnswersPrefix(id), OPTIONS);
+    const read = await this.#store.readPrefix(
+      toAnswersPrefix(id),
+      STORE_OPTIONS,
+    );
     return read.map((entries) =>
       entries.flatMap(({ value }) => {
         const { answers } = JSON.parse(value) as PackAnswers;
@@ -149,12 +156,12 @@
     );
   }
 
-  /** Returns how many answers each pack of a batch has, in one call. */
+  /** Returns the number of answers of each pack that has any, with one read of the store. */
   async countAnswers(
     id: string,
   ): Promise<Result<ReadonlyMap<number, number>, StoreFailure>> {
     const prefix = toAnswersPrefix(id);
-    const read = await this.#store.readPrefix(prefix, OPTIONS);
+    const read = await this.#store.readPrefix(prefix, STORE_OPTIONS);
     return read.map((entries) =>
       new Map(entries.map(({ key, value }) => [
         Number(key.slice(prefix.length)),
@@ -163,7 +170,7 @@
     );
   }
 
-  /** Adds answers to those of a pack; what is there stays. */
+  /** Adds answers to those of a pack. Answers that are stored already stay. */
   async writeAnswers(
     id: string,
     pack: number,
@@ -176,11 +183,11 @@
         const merged = mergeAnswers(current?.answers ?? {}, answers);
         return merged && { answers: merged };
       },
-    }, OPTIONS);
+    }, STORE_OPTIONS);
     return written.map(({ document }) => document?.answers ?? {});
   }
 
-  /** Ends a batch; one that has ended stays as it is. */
+  /** Ends a batch. A batch that has ended already stays as it is. */
   async end(
     id: string,
     state: "cancelled" | "done",
@@ -193,57 +200,59 @@
         current === undefined || current.state !== "open"
           ? undefined
           : { ...current, state, endedMs: nowMs },
-    }, OPTIONS);
+    }, STORE_OPTIONS);
     if (ended.isErr()) return err(ended.error);
     const endedMs = ended.value.document?.endedMs ?? nowMs;
-    // The pointer for the removal goes before the one of open batches is dropped.
+    // The pointer that leads to the later removal of the batch is written before the
+    // pointer to the open batch is removed.
     const key = ENDED_PREFIX + id;
-    const noted = await this.#store.swap(
+    const endedPointer = await this.#store.swap(
       { key, expectedRevision: 0, value: String(endedMs) },
-      OPTIONS,
+      STORE_OPTIONS,
     );
-    if (noted.isOk()) await this.dropPointer(id);
+    if (endedPointer.isOk()) await this.dropPointer(id);
     return ok(ended.value.document);
   }
 
-  /** Takes a batch off the list of open ones. */
+  /** Removes the pointer to an open batch. */
   async dropPointer(id: string): Promise<void> {
-    const read = await this.#store.read(OPEN_PREFIX + id, OPTIONS);
+    const read = await this.#store.read(OPEN_PREFIX + id, STORE_OPTIONS);
     if (read.isErr() || read.value === undefined) return;
     const expectedRevision = read.value.revision;
     await this.#store.swap({
       key: OPEN_PREFIX + id,
       expectedRevision,
       value: undefined,
-    }, OPTIONS);
+    }, STORE_OPTIONS);
   }
 
   /**
-   * Removes batches that ended before a time: items and answers first, the head
-   * and the pointer last, so that a removal that breaks off is taken up again.
+   * Removes batches that ended before a time. Deletes items and answers first, and
+   * the head and the pointer last, so that an interrupted removal is continued by
+   * the next one.
    *
    * @param beforeMs Time, in milliseconds since the epoch.
    * @returns The number of batches removed.
    */
   async removeEnded(beforeMs: number): Promise<Result<number, StoreFailure>> {
-    const ended = await this.#store.readPrefix(ENDED_PREFIX, OPTIONS);
+    const ended = await this.#store.readPrefix(ENDED_PREFIX, STORE_OPTIONS);
     if (ended.isErr()) return err(ended.error);
     const due = ended.value.filter(({ value }) => Number(value) < beforeMs);
     for (const pointer of due) {
       const id = pointer.key.slice(ENDED_PREFIX.length);
-      const held = await this.#store.readPrefix(
+      const stored = await this.#store.readPrefix(
         `${BATCH_PREFIX}${id}/`,
-        OPTIONS,
+        STORE_OPTIONS,
       );
-      if (held.isErr()) return err(held.error);
+      if (stored.isErr()) return err(stored.error);
       const isHead = ({ key }: StoreEntry) => key === toHeadKey(id);
-      const inOrder = [
-        ...held.value.filter((entry) => !isHead(entry)),
-        ...held.value.filter(isHead),
+      const deletionOrder = [
+        ...stored.value.filter((entry) => !isHead(entry)),
+        ...stored.value.filter(isHead),
       ];
-      for (const { key, revision } of [...inOrder, pointer]) {
+      for (const { key, revision } of [...deletionOrder, pointer]) {
         const swap = { key, expectedRevision: revision, value: undefined };
-        const removed = await this.#store.swap(swap, OPTIONS);
+        const removed = await this.#store.swap(swap, STORE_OPTIONS);
         if (removed.isErr()) return err(removed.error);
       }
     }
@@ -259,32 +268,32 @@
     const key = toPackKey(id, index);
     const swapped = await this.#store.swap(
       { key, expectedRevision: 0, value },
-      OPTIONS,
+      STORE_OPTIONS,
     );
-    // The id stands for the content: a pack that is there already is the same one.
+    // The id identifies the content, so a pack that exists already has the same items.
     if (swapped.isOk()) return ok(undefined);
     if (swapped.error.kind !== "unknown") return err(swapped.error);
-    const read = await this.#store.read(key, OPTIONS);
+    const read = await this.#store.read(key, STORE_OPTIONS);
     if (read.isErr()) return err(read.error);
     return read.value?.value === value ? ok(undefined) : err(swapped.error);
   }
 
-  async #point(id: string): Promise<Result<void, StoreFailure>> {
+  async #writeOpenPointer(id: string): Promise<Result<void, StoreFailure>> {
     const key = OPEN_PREFIX + id;
     const swapped = await this.#store.swap({
       key,
       expectedRevision: 0,
       value: "{}",
-    }, OPTIONS);
+    }, STORE_OPTIONS);
     if (swapped.isOk()) return ok(undefined);
     if (swapped.error.kind !== "unknown") return err(swapped.error);
-    const read = await this.#store.read(key, OPTIONS);
+    const read = await this.#store.read(key, STORE_OPTIONS);
     if (read.isErr()) return err(read.error);
     return read.value === undefined ? err(swapped.error) : ok(undefined);
   }
 }
 
-function checkSame(
+function checkBodyHash(
   head: BatchHead,
   bodyHash: string,
 ): Result<BatchHead, Failure> {
--- a/batches/merge_answers.ts
+++ b/batches/merge_answers.ts
@@ -1,24 +1,24 @@
 import type { BatchAnswer } from "./batch_document.ts";
 
-/** Answers by position in a pack. */
+/** Answers by position of the item in its pack. */
 export type AnswerMap = Readonly<Record<string, BatchAnswer>>;
 
 /**
- * Returns the answers with new ones added. An item that has an answer keeps
- * it: whoever worked on it as well comes too late.
+ * Returns the answers with new ones added. An item that has an answer keeps it,
+ * even if another worker has run the item too.
  *
- * @param known What the store holds.
- * @param added What a worker brings.
- * @returns `undefined` if nothing is new.
+ * @param existing Answers in the store.
+ * @param added Answers of a worker.
+ * @returns The merged answers; `undefined` if none of the added ones is new.
  */
 export function mergeAnswers(
-  known: AnswerMap,
+  existing: AnswerMap,
   added: AnswerMap,
 ): AnswerMap | undefined {
-  const news = Object.entries(added).filter(([position]) =>
-    known[position] === undefined
+  const newEntries = Object.entries(added).filter(([position]) =>
+    existing[position] === undefined
   );
-  return news.length === 0
+  return newEntries.length === 0
     ? undefined
-    : { ...known, ...Object.fromEntries(news) };
+    : { ...existing, ...Object.fromEntries(newEntries) };
 }
--- a/batches/mod.ts
+++ b/batches/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Batches: accepted means durable, each answer exactly once.
+ * Batches of calls. An accepted batch is durable, and each of its items gets
+ * exactly one answer.
  *
  * @example
  * ```ts
--- a/batches/split_packs.ts
+++ b/batches/split_packs.ts
@@ -1,38 +1,39 @@
 import type { BatchItem } from "./batch_document.ts";
 
-/** Bounds of a pack. */
+/** Limits of a pack. */
 export interface PackBounds {
   readonly maxItems: number;
+  /** Maximum size of the items as JSON, in bytes. */
   readonly maxBytes: number;
 }
 
-/** Packs small enough that the answers fit into one value beside each other. */
+/** Limits at which the answers to all items of a pack fit into one value of the store. */
 export const PACK_BOUNDS: PackBounds = { maxItems: 50, maxBytes: 300_000 };
 
 /**
- * Returns the items in packs, in order.
+ * Returns the items divided into packs, in order.
  *
- * @param items All items.
- * @param bounds Bounds of a pack.
+ * @param items All items of a batch.
+ * @param bounds Limits of a pack.
  */
 export function splitPacks(
   items: readonly BatchItem[],
   bounds: PackBounds = PACK_BOUNDS,
 ): readonly (readonly BatchItem[])[] {
   const packs: BatchItem[][] = [];
-  let size = Infinity;
+  let packBytes = Infinity;
   items.forEach((item) => {
-    const bytes = Buffer.byteLength(JSON.stringify(item));
-    const last = packs.at(-1);
-    const fits = last !== undefined && last.length < bounds.maxItems &&
-      size + bytes <= bounds.maxBytes;
+    const itemBytes = Buffer.byteLength(JSON.stringify(item));
+    const lastPack = packs.at(-1);
+    const fits = lastPack !== undefined && lastPack.length < bounds.maxItems &&
+      packBytes + itemBytes <= bounds.maxBytes;
     if (fits) {
-      last.push(item);
-      size += bytes;
+      lastPack.push(item);
+      packBytes += itemBytes;
       return;
     }
     packs.push([item]);
-    size = bytes;
+    packBytes = itemBytes;
   });
   return packs;
 }
