--- a/batches/run_pack.ts
+++ b/batches/run_pack.ts
@@ -21,7 +21,7 @@
   readonly clock: Clock;
   /** Runs one item once. The position is that in the batch. */
   readonly runItem: (item: BatchItem, position: number) => Promise<ItemOutcome>;
-  /** Saves answers. Returns `false` if the pack is no longer this worker's, which then stops. */
+  /** Saves answers. Returns `false` if the pack is no longer this worker's; the worker then stops. */
   readonly save: (answers: AnswerMap) => Promise<boolean>;
   /** Returns whether more items may be started; `false` during the graceful shutdown of the instance. */
   readonly mayStart: () => boolean;
