--- a/tests/caller_keys_test.ts
+++ b/tests/caller_keys_test.ts
@@ -1,7 +1,4 @@
-// Calls on a deployment with teams ran without any check of their keys, and each call
-// handed its key to the server: the plain way of a call knew no teams. Evidence: on a
-// quiet played day servers got 25,391 calls with the caller's key and none with a
-// team's name, and 48 calls ran whose key no configuration had ever held.
+// Calls to a deployment with teams ran without a check of their keys, and servers got the key instead of the team's name.
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
 import { toOwnLoopback } from "../standin/loopback_net.ts";
@@ -53,8 +50,8 @@
   return { near, server };
 }
 
-/** Makes a call and returns its answer. */
-async function ask(
+/** Sends a call on a connection of its own and returns its answer. */
+async function sendCall(
   { port }: GatewayFixture,
   headers: readonly string[],
   path = "/a/x",
@@ -72,32 +69,32 @@
   return await caller.awaitEnd();
 }
 
-const bear = (key: string) => `Authorization: Bearer ${key}`;
+const toBearer = (key: string) => `Authorization: Bearer ${key}`;
 
 describe("a call with the key of a team", () => {
   it("is sent with the team's name and without the key", async () => {
     const { near, server } = await start();
-    assert.match(await ask(near, [bear("key-2")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("key-2")]), /^HTTP\/1\.1 200 /);
     const [request] = server.requests;
     assert.equal(findHeader(request!, "x-havenspur-tenant"), "roasters");
     assert.doesNotMatch(request!, /authorization|key-2/i);
   });
 
-  it("is sent with no name that its caller says, however often and spelled", async () => {
+  it("is not sent with a team name of its caller, however often and in whatever case it is given", async () => {
     const { near, server } = await start();
-    await ask(near, [
+    await sendCall(near, [
       "X-Havenspur-Tenant: drinkers",
-      bear("key-1"),
+      toBearer("key-1"),
       "x-havenspur-TENANT: drinkers",
     ]);
     const names = server.requests[0]!.match(/x-havenspur-tenant: (\w+)/gi);
     assert.deepEqual(names, ["X-Havenspur-Tenant: roasters"]);
   });
 
-  it("keeps its team's name where Connection names the header", async () => {
+  it("keeps its team's name when Connection lists the header", async () => {
     const { near, server } = await start();
-    const answer = await ask(near, [
-      bear("key-1"),
+    const answer = await sendCall(near, [
+      toBearer("key-1"),
       "Connection: x-havenspur-tenant, authorization",
     ]);
     assert.match(answer, /^HTTP\/1\.1 200 /);
@@ -107,7 +104,7 @@
     );
   });
 
-  it("has its team's priority before its route's, which orders equal teams", async () => {
+  it("is ordered by its team's priority first, then by its route's", async () => {
     const { near, server } = await start({
       routes: [
         { prefix: "/a/", priority: 2 },
@@ -116,8 +113,8 @@
       teams: [{ ...ROASTERS, priority: 0 }, { ...DRINKERS, priority: 1 }],
     });
     for (const key of ["key-1", "key-3"]) {
-      await ask(near, [bear(key)], "/a/x");
-      await ask(near, [bear(key)], "/b/x");
+      await sendCall(near, [toBearer(key)], "/a/x");
+      await sendCall(near, [toBearer(key)], "/b/x");
     }
     const urgencies = server.requests.map((request) =>
       Number(findHeader(request, "x-havenspur-request-urgency"))
@@ -126,19 +123,19 @@
   });
 });
 
-describe("a call without a good key", () => {
+describe("a call without a valid key", () => {
   const refused: readonly (readonly [string, readonly string[]])[] = [
     ["no key", []],
-    ["an unknown key", [bear("key-9")]],
-    ["another scheme", ["Authorization: Basic key-1"]],
-    ["two keys", [bear("key-1"), bear("key-1")]],
+    ["an unknown key", [toBearer("key-9")]],
+    ["another authentication scheme", ["Authorization: Basic key-1"]],
+    ["two Authorization headers", [toBearer("key-1"), toBearer("key-1")]],
     ["a key with blanks", ["Authorization: Bearer key-1 key-1"]],
-    ["a key that is far too long", [bear("k".repeat(2_000))]],
+    ["an overlong key", [toBearer("k".repeat(2_000))]],
   ];
   refused.forEach(([what, headers]) =>
-    it(`is refused for ${what}, and runs nowhere`, async () => {
+    it(`is refused for ${what}, and reaches no server`, async () => {
       const { near, server } = await start();
-      const answer = await ask(near, headers);
+      const answer = await sendCall(near, headers);
       assert.match(answer, /^HTTP\/1\.1 401 /);
       assert.match(answer, /www-authenticate: bearer/i);
       assert.doesNotMatch(answer, /key-/);
@@ -146,16 +143,16 @@
     })
   );
 
-  it("is told nothing of routes", async () => {
+  it("does not learn which routes exist", async () => {
     const { near } = await start();
-    assert.match(await ask(near, [], "/none/x"), /^HTTP\/1\.1 401 /);
+    assert.match(await sendCall(near, [], "/none/x"), /^HTTP\/1\.1 401 /);
     assert.match(
-      await ask(near, [bear("key-1")], "/none/x"),
+      await sendCall(near, [toBearer("key-1")], "/none/x"),
       /^HTTP\/1\.1 404 /,
     );
   });
 
-  it("is refused before a long body has come to its end", async () => {
+  it("is refused before all of a long body has arrived", async () => {
     const { near } = await start();
     const caller = await openRawCaller(near.port);
     CLEAN_UPS.push(() => caller.socket.destroy());
@@ -171,7 +168,7 @@
     assert.match(answer, /connection: close/i);
   });
 
-  it("keeps its connection where its body is short", async () => {
+  it("keeps its connection when its body is short", async () => {
     const { near } = await start();
     const caller = await openRawCaller(near.port);
     CLEAN_UPS.push(() => caller.socket.destroy());
@@ -180,39 +177,39 @@
     caller.socket.write(
       createRequest("/a/x", {
         ...short,
-        headers: [bear("key-1"), "Connection: close"],
+        headers: [toBearer("key-1"), "Connection: close"],
       }),
     );
     const answers = await caller.awaitEnd();
     assert.match(answers, /^HTTP\/1\.1 401 [\s\S]*HTTP\/1\.1 200 /);
   });
 
-  it("is served on a public route, which names no team", async () => {
+  it("is served on a public route, and sent without a team name", async () => {
     const { near, server } = await start();
-    const headers = ["X-Havenspur-Tenant: drinkers", bear("key-9")];
-    assert.match(await ask(near, headers, "/open/x"), /^HTTP\/1\.1 200 /);
+    const headers = ["X-Havenspur-Tenant: drinkers", toBearer("key-9")];
+    assert.match(await sendCall(near, headers, "/open/x"), /^HTTP\/1\.1 200 /);
     assert.doesNotMatch(
       server.requests[0]!,
       /x-havenspur-tenant|authorization/i,
     );
   });
 
-  it("follows the configuration in force", async () => {
+  it("is checked against the configuration in force", async () => {
     const { near } = await start();
     near.configure(2, { teams: [DRINKERS] });
-    assert.match(await ask(near, [bear("key-1")]), /^HTTP\/1\.1 401 /);
+    assert.match(await sendCall(near, [toBearer("key-1")]), /^HTTP\/1\.1 401 /);
     near.configure(3, {
       teams: [{ ...DRINKERS, apiKeys: ["key-1"] }],
     });
-    assert.match(await ask(near, [bear("key-1")]), /^HTTP\/1\.1 200 /);
-    assert.match(await ask(near, [bear("key-3")]), /^HTTP\/1\.1 401 /);
+    assert.match(await sendCall(near, [toBearer("key-1")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("key-3")]), /^HTTP\/1\.1 401 /);
   });
 });
 
 describe("a configuration without teams", () => {
-  it("passes callers' headers on as they are", async () => {
+  it("passes the headers of callers on unchanged", async () => {
     const { near, server } = await start({ teams: undefined });
-    assert.match(await ask(near, [bear("own")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("own")]), /^HTTP\/1\.1 200 /);
     assert.equal(
       findHeader(server.requests[0]!, "authorization"),
       "Bearer own",
@@ -220,27 +217,33 @@
   });
 });
 
-describe("a configuration that cannot be", () => {
+describe("an invalid configuration", () => {
   const wrong: readonly (readonly [string, readonly unknown[]])[] = [
-    ["two teams of one key", [ROASTERS, { ...DRINKERS, apiKeys: ["key-1"] }]],
-    ["two teams of one name", [ROASTERS, ROASTERS]],
+    ["two teams with the same key", [ROASTERS, {
+      ...DRINKERS,
+      apiKeys: ["key-1"],
+    }]],
+    ["two teams with the same name", [ROASTERS, ROASTERS]],
     ["an empty name", [{ ...ROASTERS, name: "" }]],
     ["an empty key", [{ ...ROASTERS, apiKeys: [""] }]],
     ["a negative rate", [{ ...ROASTERS, requestsPerS: -1 }]],
     ["an unknown unit", [{ ...ROASTERS, unit: "bytes" }]],
   ];
   wrong.forEach(([what, teams]) =>
-    it(`is not taken for ${what}; the one before stays whole`, async () => {
+    it(`is rejected for ${what}, and the previous one stays in force`, async () => {
       const { near } = await start();
       near.configure(2, { teams: teams as readonly TeamFixture[] });
-      assert.match(await ask(near, [bear("key-3")]), /^HTTP\/1\.1 200 /);
+      assert.match(
+        await sendCall(near, [toBearer("key-3")]),
+        /^HTTP\/1\.1 200 /,
+      );
       assert.equal(near.gateway.state.known.configurationVersion, 1);
     })
   );
 });
 
-describe("homes of a team and of a route", () => {
-  it("both bind", async () => {
+describe("home regions of a team and of a route", () => {
+  it("both restrict where a call is served", async () => {
     const { near, server } = await start({
       routes: [{ prefix: "/a/", homeRegions: ["north", "south"] }],
       teams: [
@@ -248,26 +251,25 @@
         { ...DRINKERS, homeRegions: ["south"] },
       ],
     });
-    assert.match(await ask(near, [bear("key-1")]), /^HTTP\/1\.1 200 /);
-    assert.match(await ask(near, [bear("key-3")]), /^HTTP\/1\.1 503 /);
+    assert.match(await sendCall(near, [toBearer("key-1")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("key-3")]), /^HTTP\/1\.1 503 /);
     assert.equal(server.requests.length, 1);
   });
 
-  // Refused as forbidden, 2,177 calls of a day broke a promise: that proper calls are not
-  // turned away for good. Each of them had a key in force and a route that is there.
-  it("refuse as not run, and at once, what no region may serve", async () => {
+  // Refused as forbidden, 2,177 calls of a day were turned away for good, though each had a valid key and a route.
+  it("refuse at once, and as not run, a call that no region may serve", async () => {
     const { near, server } = await start({
       routes: [{ prefix: "/a/", homeRegions: ["north"] }],
       teams: [{ ...ROASTERS, homeRegions: ["south"] }],
     });
-    assert.match(await ask(near, [bear("key-1")]), /^HTTP\/1\.1 503 /);
+    assert.match(await sendCall(near, [toBearer("key-1")]), /^HTTP\/1\.1 503 /);
     assert.equal(server.requests.length, 0);
   });
 });
 
-describe("a call that takes a hop", () => {
-  /** A gateway in the north whose only server is in the south, behind another gateway. */
-  async function startTwo() {
+describe("a call that is forwarded to another region", () => {
+  /** Starts a gateway in the north whose only server is in the south, behind another gateway. */
+  async function startTwoRegions() {
     const server = await startServer();
     const shared = {
       routes: [{ prefix: "/a/" }],
@@ -301,37 +303,37 @@
   }
   const NEWCOMERS: TeamFixture = { name: "newcomers", apiKeys: ["key-7"] };
 
-  it("keeps its team, and its key stays at the first instance", async () => {
-    const { near, server } = await startTwo();
-    assert.match(await ask(near, [bear("key-1")]), /^HTTP\/1\.1 200 /);
+  it("keeps its team's name, while its key stays at the first instance", async () => {
+    const { near, server } = await startTwoRegions();
+    assert.match(await sendCall(near, [toBearer("key-1")]), /^HTTP\/1\.1 200 /);
     const [request] = server.requests;
     assert.equal(findHeader(request!, "x-havenspur-tenant"), "roasters");
     assert.doesNotMatch(request!, /authorization|key-1|hop/i);
   });
 
-  it("is served though the second instance has not heard of its key", async () => {
-    const { near, server } = await startTwo();
+  it("is served although the second instance does not know its key yet", async () => {
+    const { near, server } = await startTwoRegions();
     near.configure(2, { teams: [ROASTERS, NEWCOMERS] });
-    assert.match(await ask(near, [bear("key-7")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("key-7")]), /^HTTP\/1\.1 200 /);
     assert.equal(
       findHeader(server.requests[0]!, "x-havenspur-tenant"),
       "newcomers",
     );
   });
 
-  it("does not run where its key is known to be taken away", async () => {
-    const { far, near, server } = await startTwo();
+  it("does not run when the second instance knows that its key was revoked", async () => {
+    const { far, near, server } = await startTwoRegions();
     far.configure(2, { teams: [NEWCOMERS] });
-    const answer = await ask(near, [bear("key-1")]);
+    const answer = await sendCall(near, [toBearer("key-1")]);
     assert.doesNotMatch(answer, /^HTTP\/1\.1 200 /);
     assert.equal(server.requests.length, 0);
   });
 
-  it("is not let in for a hop that its caller writes", async () => {
-    const { near, server } = await startTwo();
+  it("is refused when its caller forges the hop header", async () => {
+    const { near, server } = await startTwoRegions();
     const forged = "Havenspur-Hop: from=a&service=app&remainingMs=900&tried=" +
       "&version=9&team=roasters&key=00";
-    assert.match(await ask(near, [forged]), /^HTTP\/1\.1 401 /);
+    assert.match(await sendCall(near, [forged]), /^HTTP\/1\.1 401 /);
     assert.equal(server.requests.length, 0);
   });
 });
@@ -344,13 +346,14 @@
     requestsPerS: 100,
     burst: 100,
   };
-  const count = (tokens: string) => `X-Havenspur-Token-Counts: ${tokens}`;
+  const toTokenCounts = (tokens: string) =>
+    `X-Havenspur-Token-Counts: ${tokens}`;
 
-  it("is refused beyond it with a time to come back, and others are not", async () => {
+  it("is refused beyond it with Retry-After, while other teams are served", async () => {
     const { near, server } = await start({ teams: [LIMITED, DRINKERS] });
     const answers: string[] = [];
     for (const _ of Array.from({ length: 12 })) {
-      answers.push(await ask(near, [bear("key-1")]));
+      answers.push(await sendCall(near, [toBearer("key-1")]));
     }
     const refused = answers.filter((each) => /^HTTP\/1\.1 429 /.test(each));
     assert.ok(refused.length > 0);
@@ -358,12 +361,15 @@
       assert.ok(Number(findHeader(answer, "retry-after")) > 0)
     );
     assert.equal(server.requests.length, 12 - refused.length);
-    assert.match(await ask(near, [bear("key-3")]), /^HTTP\/1\.1 200 /);
+    assert.match(await sendCall(near, [toBearer("key-3")]), /^HTTP\/1\.1 200 /);
   });
 
-  it("is told no time for a call that the limit never carries", async () => {
+  it("gets no Retry-After for a call that exceeds the limit by itself", async () => {
     const { near } = await start({ teams: [LIMITED] });
-    const answer = await ask(near, [bear("key-1"), count("4000,50")]);
+    const answer = await sendCall(near, [
+      toBearer("key-1"),
+      toTokenCounts("4000,50"),
+    ]);
     assert.match(answer, /^HTTP\/1\.1 429 /);
     assert.equal(findHeader(answer, "retry-after"), undefined);
   });
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -13,7 +13,7 @@
 import { StateFollower } from "../state/mod.ts";
 import { createFullCopy } from "./state_fixture.ts";
 
-/** A route as a test declares it; what it leaves out has a usual value. */
+/** Route of a test configuration; members that are left out have defaults. */
 export interface RouteFixture {
   readonly prefix: string;
   readonly kind?: "safe" | "unsafe" | "streaming";
@@ -28,7 +28,7 @@
   readonly priority?: number;
 }
 
-/** A team as a test declares it, in the platform's words. */
+/** Team of a test configuration, with the member names of the platform's documents. */
 export interface TeamFixture {
   readonly name: string;
   readonly apiKeys: readonly string[];
@@ -40,7 +40,7 @@
   readonly homeRegions?: readonly string[];
 }
 
-/** What a gateway of a test is started from. */
+/** Parts that a test gateway is started with. */
 export interface GatewayFixtureParts {
   readonly routes: readonly RouteFixture[];
   /** Address of each server by id. */
@@ -52,25 +52,25 @@
   readonly slots?: number;
   /** Region of the gateway. Default: `north`. */
   readonly region?: string;
-  /** Teams of callers. Default: the deployment identifies nobody. */
+  /** Teams of callers. Default: none, and callers are not authenticated. */
   readonly teams?: readonly TeamFixture[];
-  /** Loopback address of the gateway. Default: one of this process alone. */
+  /** Loopback address of the gateway. Default: one that only this process uses. */
   readonly host?: string;
 }
 
-/** A gateway with real sockets on loopback. */
+/** Gateway that listens on loopback sockets. */
 export interface GatewayFixture {
   readonly gateway: HttpGateway;
   readonly host: string;
   readonly port: number;
   readonly peerPort: number;
   readonly pool: ConnectionPool;
-  /** Puts another configuration in force. */
+  /** Applies a configuration that differs in `parts` from the one at the start. */
   configure(version: number, parts: Partial<GatewayFixtureParts>): void;
   close(): void;
 }
 
-/** Host of all routes of a test. */
+/** Host name of all test routes. */
 export const TEST_HOST = "app.example";
 
 const REGIONS = new Map([
@@ -78,14 +78,14 @@
   [toFailureDomainId("south-a"), toRegionId("south")],
 ]);
 
-/** Starts a gateway that knows its routes and servers from a copy, without a store. */
+/** Starts a gateway that gets its routes and servers from a state copy instead of the store. */
 export async function startGateway(
   parts: GatewayFixtureParts,
 ): Promise<GatewayFixture> {
   const host = parts.host ?? toOwnLoopback(1);
   const region = parts.region ?? "north";
   const pool = new ConnectionPool();
-  const ended = new AbortController();
+  const closing = new AbortController();
   const createListener = (isPeer: boolean) =>
     new CallListener({
       host,
@@ -103,8 +103,8 @@
   const callers = createListener(false);
   const peers = createListener(true);
   const listeners = [callers, peers];
-  // An instance says its port to others: it has to have it before. Nobody knows the
-  // port yet, so that no call comes before the gateway is there.
+  // An instance reports its peer port to others, so the port is opened before the gateway
+  // is created. No call arrives meanwhile, since nobody knows the port yet.
   const peerPort = await peers.open();
   const gateway: HttpGateway = new HttpGateway({
     clock: systemClock,
@@ -141,10 +141,10 @@
   });
   const port = await callers.open();
   const configure: GatewayFixture["configure"] = (version, changed) => {
-    gateway.state.applyCopy(toCopy(version, { ...parts, ...changed }));
+    gateway.state.applyCopy(createStateCopy(version, { ...parts, ...changed }));
   };
   configure(1, {});
-  gateway.loopDelay.start(ended.signal);
+  gateway.loopDelay.start(closing.signal);
   return {
     gateway,
     host,
@@ -153,15 +153,17 @@
     pool,
     configure,
     close: () => {
-      ended.abort("closed");
+      closing.abort("closed");
       listeners.forEach((listener) => listener.destroy());
       pool.close();
     },
   };
 }
 
-function toCopy(version: number, parts: GatewayFixtureParts) {
-  const names = new Set(parts.routes.map(({ service }) => service ?? "app"));
+function createStateCopy(version: number, parts: GatewayFixtureParts) {
+  const serviceNames = new Set(
+    parts.routes.map(({ service }) => service ?? "app"),
+  );
   const configuration = {
     version,
     routes: parts.routes.map(({ targetMs = 2_000, ...route }, index) => ({
@@ -175,7 +177,7 @@
       ...route,
     })),
     ...(parts.teams === undefined ? {} : { tenants: parts.teams }),
-    services: [...names].map((name) => ({ name, maxConnections: 200 })),
+    services: [...serviceNames].map((name) => ({ name, maxConnections: 200 })),
     limits: {
       maxHeaderBytes: 4_096,
       maxBodyBytes: 1_000_000,
@@ -209,7 +211,7 @@
   return createFullCopy(version, entries);
 }
 
-/** Signed answers, as a sound backend server gives them. */
+/** Returns the bytes of a signed answer, as a healthy backend server sends it. */
 export function createAnswer(
   callId: string,
   body: string,
@@ -226,26 +228,28 @@
   ].join("\r\n");
 }
 
-/** A request of a caller as bytes. */
+/** Returns the bytes of a caller's request; a body gets a length unless a header frames it. */
 export function createRequest(
   path: string,
-  more: {
+  options: {
     readonly method?: string;
     readonly callId?: string;
     readonly headers?: readonly string[];
     readonly body?: string;
   } = {},
 ): string {
-  const body = more.body ?? "";
-  const isFramed = more.headers?.some((line) =>
+  const body = options.body ?? "";
+  const hasFramingHeader = options.headers?.some((line) =>
     /^(content-length|transfer-encoding):/i.test(line)
   );
   return [
-    `${more.method ?? "GET"} ${path} HTTP/1.1`,
+    `${options.method ?? "GET"} ${path} HTTP/1.1`,
     `Host: ${TEST_HOST}`,
-    `X-Havenspur-Attempt-Id: ${more.callId ?? "c1"}`,
-    ...(more.headers ?? []),
-    ...(body !== "" && !isFramed ? [`Content-Length: ${body.length}`] : []),
+    `X-Havenspur-Attempt-Id: ${options.callId ?? "c1"}`,
+    ...(options.headers ?? []),
+    ...(body !== "" && !hasFramingHeader
+      ? [`Content-Length: ${body.length}`]
+      : []),
     "",
     body,
   ].join("\r\n");
--- a/tests/raw_http.ts
+++ b/tests/raw_http.ts
@@ -3,17 +3,17 @@
 import type { AddressInfo } from "node:net";
 import { toOwnLoopback } from "../standin/loopback_net.ts";
 
-/** A backend server that answers with whatever bytes a test wants. */
+/** Backend server for which a test writes the bytes of each answer. */
 export interface RawServer {
   readonly address: string;
-  /** Heads and bodies of the requests that came, as text. */
+  /** Heads and bodies of the requests received, as text. */
   readonly requests: string[];
   readonly sockets: Socket[];
   close(): void;
 }
 
 /**
- * Starts a server on loopback.
+ * Starts a backend server on loopback.
  *
  * @param answer Called with each whole request and its connection.
  */
@@ -24,17 +24,17 @@
   const sockets: Socket[] = [];
   const server: Server = createServer((socket) => {
     sockets.push(socket);
-    let waiting = "";
+    let unparsed = "";
     socket.on("error", () => {});
     socket.on("data", (chunk) => {
-      waiting += chunk.toString("latin1");
-      let size = measureRequest(waiting);
+      unparsed += chunk.toString("latin1");
+      let size = measureRequest(unparsed);
       while (size !== undefined) {
-        const request = waiting.slice(0, size);
-        waiting = waiting.slice(size);
+        const request = unparsed.slice(0, size);
+        unparsed = unparsed.slice(size);
         requests.push(request);
         answer(request, socket);
-        size = measureRequest(waiting);
+        size = measureRequest(unparsed);
       }
     });
   });
@@ -52,23 +52,23 @@
   };
 }
 
-/** Returns a header of a request as text, or `undefined`. */
+/** Returns the value of a header of a request or an answer, or `undefined`. */
 export function findHeader(request: string, name: string): string | undefined {
   return new RegExp(`^${name}: (.*)\r$`, "im").exec(request)?.[1];
 }
 
-/** A raw connection of a caller. */
+/** Connection of a caller on which a test reads and writes bytes. */
 export interface RawCaller {
   readonly socket: Socket;
   /** All bytes received so far. */
   read(): string;
-  /** Resolves when the text has come, or the connection has ended. */
+  /** Resolves with all bytes once they contain the text, or the connection has ended. */
   awaitText(text: string | RegExp): Promise<string>;
-  /** Resolves with all bytes when the connection has ended. */
+  /** Resolves with all bytes once the connection has ended. */
   awaitEnd(): Promise<string>;
 }
 
-/** Opens a connection to a port on loopback, by default where gateways of tests listen. */
+/** Opens a connection to a loopback port, by default at the address of test gateways. */
 export async function openRawCaller(
   port: number,
   host = toOwnLoopback(1),
@@ -77,39 +77,39 @@
   await once(socket, "connect");
   let received = "";
   let hasEnded = false;
-  const waiting = new Set<() => void>();
-  const wake = () => waiting.forEach((check) => check());
+  const pendingChecks = new Set<() => void>();
+  const runChecks = () => pendingChecks.forEach((check) => check());
   socket.on("error", () => {});
   socket.on("data", (chunk) => {
     received += chunk.toString("latin1");
-    wake();
+    runChecks();
   });
   socket.on("close", () => {
     hasEnded = true;
-    wake();
+    runChecks();
   });
-  const awaitThat = (isThere: () => boolean) =>
+  const awaitCondition = (isMet: () => boolean) =>
     new Promise<string>((resolve) => {
       const check = () => {
-        if (!isThere() && !hasEnded) return;
-        waiting.delete(check);
+        if (!isMet() && !hasEnded) return;
+        pendingChecks.delete(check);
         resolve(received);
       };
-      waiting.add(check);
+      pendingChecks.add(check);
       check();
     });
   return {
     socket,
     read: () => received,
     awaitText: (text) =>
-      awaitThat(() =>
+      awaitCondition(() =>
         typeof text === "string" ? received.includes(text) : text.test(received)
       ),
-    awaitEnd: () => awaitThat(() => false),
+    awaitEnd: () => awaitCondition(() => false),
   };
 }
 
-/** Size of the first whole request in a text, or `undefined`. */
+/** Returns the size in bytes of the first whole request in a text, or `undefined`. */
 function measureRequest(text: string): number | undefined {
   const headEnd = text.indexOf("\r\n\r\n");
   if (headEnd < 0) return undefined;
