--- a/tests/opaque_call_fixture.ts
+++ b/tests/opaque_call_fixture.ts
@@ -6,7 +6,7 @@
 } from "../forwarding/mod.ts";
 import { createRoute, createRouteTable } from "./route_fixture.ts";
 
-/** Answers each send at once with 200. */
+/** Client that answers each call with status 200 in the next microtask. */
 export const ANSWERING_CLIENT: ServerClient = {
   send: (_, events) => {
     queueMicrotask(() => {
@@ -17,14 +17,14 @@
   },
 };
 
-/** One idempotent route of one plain service, `app`, to which the calls below go. */
+/** Route table with one idempotent route to the plain service `app`, which the calls below match. */
 export const ONE_ROUTE = createRouteTable([createRoute("/a/")]);
 
 /**
- * Returns a call of a caller.
+ * Returns a call as it arrives from a caller.
  *
- * @param receivedMs When it arrived.
- * @param unreadMs How long of the time since it was not read. Default: 0.
+ * @param receivedMs When it arrived, in milliseconds of the clock.
+ * @param unreadMs The longest that it may have waited to be read, in milliseconds. Default: 0.
  */
 export function createOpaqueCall(receivedMs: number, unreadMs = 0): OpaqueCall {
   return {
@@ -38,7 +38,7 @@
   };
 }
 
-/** Returns where an answer of which only the head counts may go; its caller stays. */
+/** Returns a sink that passes on only the head of an answer, and whose caller never disconnects. */
 export function createHeadSink(begin: (head: AnswerHead) => void): CallSink {
   return {
     signal: new AbortController().signal,
--- a/tests/route_fixture.ts
+++ b/tests/route_fixture.ts
@@ -6,14 +6,14 @@
 } from "../http_routes/mod.ts";
 import { toRegionId } from "../ids/mod.ts";
 
-/** Host of all routes below. */
+/** Host name of the routes that `createRoute` returns. */
 export const ROUTE_HOST = "app.example";
 
 /**
  * Returns an idempotent route of service `app`.
  *
- * @param pathPrefix Begins and ends with a slash; its name, too.
- * @param homes Names of the regions that may serve it. Default: all.
+ * @param pathPrefix Path prefix that begins and ends with a slash, and the name of the route.
+ * @param homes Names of the regions that may serve the route. Default: all.
  */
 export function createRoute(
   pathPrefix: string,
@@ -37,10 +37,10 @@
 }
 
 /**
- * Returns the table of these routes and the plain service `app`.
+ * Returns a route table with the given routes and the plain service `app`.
  *
- * @param routes All routes.
- * @param service What differs of the service. Default: it is never cold.
+ * @param routes Routes of the table.
+ * @param service Members of the service that differ from the default, which needs no warm-up.
  */
 export function createRouteTable(
   routes: readonly HttpRoute[],
--- a/tests/stream_fixture.ts
+++ b/tests/stream_fixture.ts
@@ -1,10 +1,10 @@
 import { createRequest, startGateway } from "./http_gateway_fixture.ts";
 import { openRawCaller, startRawServer } from "./raw_http.ts";
 
-/** What the functions below have opened; each test file closes it after each test. */
+/** Functions that close what the functions below open; each test file calls them after each test. */
 export const CLEAN_UPS: (() => void)[] = [];
 
-/** Head of a signed answer in chunks. */
+/** Head of a signed event stream in chunked transfer encoding. */
 export const STREAM_HEAD = [
   "HTTP/1.1 200 OK",
   "X-Havenspur-Attempt-Id: c1",
@@ -14,33 +14,33 @@
   "",
   "",
 ].join("\r\n");
-/** End of an answer in chunks. */
+/** Last chunk of an answer in chunked transfer encoding. */
 export const STREAM_END = "0\r\n\r\n";
 
-/** Returns a text as a chunk of an answer. */
+/** Returns a text as a chunk in chunked transfer encoding. */
 export function toChunk(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-/** Returns an event of a stream. */
+/** Returns a server-sent event with an id. */
 export function createEvent(id: number): string {
   return `id: ${id}\ndata: token ${id}\n\n`;
 }
 
-/** How a server answers a request. */
-export type StreamAnswer = Parameters<typeof startRawServer>[0];
+/** Answers a request by writing to its connection. */
+export type RequestHandler = Parameters<typeof startRawServer>[0];
 
 /**
- * Starts a gateway with servers that stream.
+ * Starts a gateway with one streaming server for each handler.
  *
- * @param answers One for each server.
- * @param route Of the calls.
+ * @param handlers Handlers of the requests, one for each server.
+ * @param route Settings of the route to the servers.
  */
-export async function startStreams(
-  answers: readonly StreamAnswer[],
+export async function startStreamingGateway(
+  handlers: readonly RequestHandler[],
   route: { readonly resumable: boolean; readonly maxAttempts: number },
 ) {
-  const servers = await Promise.all(answers.map(startRawServer));
+  const servers = await Promise.all(handlers.map(startRawServer));
   const gateway = await startGateway({
     routes: [{ prefix: "/a/", kind: "streaming", ...route }],
     servers: Object.fromEntries(
@@ -54,8 +54,8 @@
   return { gateway, servers };
 }
 
-/** Asks for a stream and returns all that came until its connection ended. */
-export async function askStream(port: number): Promise<string> {
+/** Requests a stream and returns all bytes received until the connection ended. */
+export async function requestStream(port: number): Promise<string> {
   const caller = await openRawCaller(port);
   CLEAN_UPS.push(() => caller.socket.destroy());
   caller.socket.write(
