--- a/tests/content_fixture.ts
+++ b/tests/content_fixture.ts
@@ -3,7 +3,7 @@
 /**
  * Returns the content of a call.
  *
- * @param body What it says; all else is the same in all of them.
+ * @param body Body of the call; method, host and target are the same for all contents.
  */
 export function createContent(body: string): CallContent {
   return new CallContent({
--- a/tests/document_fixture.ts
+++ b/tests/document_fixture.ts
@@ -8,10 +8,10 @@
 import { StateFollower } from "../state/mod.ts";
 import { putKey } from "./follower_fixture.ts";
 
-/** Region of the servers that the functions below write. */
+/** Region of the servers that `createServerDocument` describes. */
 export const SERVER_REGION = toRegionId("north");
 
-/** Returns what a server writes of itself, with some fields changed. */
+/** Returns the document that a server writes about itself, with some fields changed. */
 export function createServerDocument(
   changes: Readonly<Record<string, unknown>> = {},
 ): Readonly<Record<string, unknown>> {
@@ -28,7 +28,7 @@
   };
 }
 
-/** Returns what the operator writes, without a route. */
+/** Returns the configuration that an operator writes, without routes. */
 export function createConfigurationDocument(version: number): unknown {
   return {
     version,
@@ -43,14 +43,14 @@
   };
 }
 
-/** Starts a follower of the platform's documents in a store of its own. */
-export function startDocuments(isRelay = () => true) {
+/** Starts a follower of the platform's documents in a new store. */
+export function startDocumentFollower(isRelay = () => true) {
   const clock = new VirtualClock();
   const store = new MemoryStore(clock);
   const registry = new ServerRegistry();
   const versions: number[] = [];
   const lines: Readonly<Record<string, unknown>>[] = [];
-  const ended = new AbortController();
+  const controller = new AbortController();
   const follower = new StateFollower({
     store,
     decoder: createDocumentDecoder(
@@ -71,8 +71,8 @@
     onServers: () => {},
     isRelay,
   });
-  void follower.run(ended.signal);
-  /** Writes a text as it is, or anything else as JSON; `undefined` removes the key. */
+  void follower.run(controller.signal);
+  /** Writes a string as it is, and any other value as JSON; `undefined` removes the key. */
   const put = async (key: string, value: unknown) => {
     const text = typeof value === "string" || value === undefined
       ? value
@@ -83,7 +83,7 @@
   const listUsable = () => registry.listUsable("app", SERVER_REGION);
   return {
     clock,
-    end: () => ended.abort(),
+    end: () => controller.abort(),
     follower,
     lines,
     listUsable,
--- a/tests/follower_fixture.ts
+++ b/tests/follower_fixture.ts
@@ -7,15 +7,15 @@
 import { StateFollower } from "../state/mod.ts";
 import { TEST_DECODER } from "./state_fixture.ts";
 
-/** What a follower of a test follows. */
+/** What a follower of a test is created from. */
 export interface FollowerParts {
   readonly clock: VirtualClock;
   readonly store: MemoryStore;
-  /** Whether it follows the store itself. Default: always. */
+  /** Whether the follower reads the store itself. Default: always. */
   readonly isRelay?: () => boolean;
 }
 
-/** Starts a follower of test documents, and tells what it puts in force. */
+/** Starts a follower of the test documents, and records the configuration versions that it puts in force. */
 export function startFollower(
   { clock, isRelay = () => true, store }: FollowerParts,
 ) {
@@ -36,14 +36,14 @@
     isRelay,
   });
   void follower.run(ended.signal);
-  /** Servers that may get calls, by name. */
+  /** Returns the ids of the servers that may get calls, sorted. */
   const listUsable = () =>
     registry.listUsable("app", toRegionId("north"))
       .map(({ entry }) => entry.id).sort();
   return { ended, follower, listUsable, versions };
 }
 
-/** Writes a key whatever its revision is; `undefined` removes it. */
+/** Writes a key at whatever revision it has; `undefined` removes the key. */
 export async function putKey(
   store: MemoryStore,
   key: string,
--- a/tests/foreign_entry_test.ts
+++ b/tests/foreign_entry_test.ts
@@ -1,18 +1,16 @@
-// What callers saw: calls went on to a server whose entry had been overwritten by
-// bytes that nobody could read. The evidence: the log said "document refused", and
-// the entry before it stayed in use, since a refused one was passed over.
+// Guards against calls to a server whose entry was overwritten by unreadable bytes: a refused entry left the earlier one in use.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import fc from "fast-check";
 import {
   createConfigurationDocument,
   createServerDocument,
-  startDocuments,
+  startDocumentFollower,
 } from "./document_fixture.ts";
 import { STORE_START } from "../store/mod.ts";
 
 const KEY = "servers/e1";
-const REQUIRED = [
+const REQUIRED_FIELDS = [
   "service",
   "address",
   "zone",
@@ -23,44 +21,47 @@
   "sequence",
 ];
 
-function omit(field: string): unknown {
+function omitField(field: string): unknown {
   const rest = Object.entries(createServerDocument())
     .filter(([name]) => name !== field);
   return Object.fromEntries(rest);
 }
 
-/** Entries that name no server to use, each with what is wrong with it. */
-const UNUSABLE: readonly (readonly [string, unknown])[] = [
+/** Entries that describe no usable server, each with its fault. */
+const UNUSABLE_ENTRIES: readonly (readonly [string, unknown])[] = [
   ["no JSON", "\u0000\ufffd{"],
-  ["an empty text", ""],
+  ["an empty string", ""],
   ["null", "null"],
   ["a list", "[]"],
-  ...REQUIRED.map((field) => [`no ${field}`, omit(field)] as const),
+  ...REQUIRED_FIELDS.map((field) => [`no ${field}`, omitField(field)] as const),
   ["an unknown state", createServerDocument({ state: "resting" })],
   ["a number as state", createServerDocument({ state: 1 })],
-  ["a text for slots", createServerDocument({ slots: "8" })],
+  ["a string as slots", createServerDocument({ slots: "8" })],
   ["no slots at all", createServerDocument({ slots: 0 })],
-  ["part of a slot", createServerDocument({ slots: 1.5 })],
+  ["a fractional number of slots", createServerDocument({ slots: 1.5 })],
   ["a negative time", createServerDocument({ warmupRemainingMs: -1 })],
   ["no port", createServerDocument({ address: "10.0.0.1" })],
   ["an impossible port", createServerDocument({ address: "10.0.0.1:99999" })],
-  ["a header in the address", createServerDocument({ address: "a\r\nb:1" })],
-  ["a text for its start", createServerDocument({ born: "1000" })],
-  ["a start between two milliseconds", createServerDocument({ born: 1.5 })],
+  [
+    "a line break in the address",
+    createServerDocument({ address: "a\r\nb:1" }),
+  ],
+  ["a string as start time", createServerDocument({ born: "1000" })],
+  ["a fractional start time", createServerDocument({ born: 1.5 })],
   ["a list of services", createServerDocument({ service: ["app"] })],
 ];
 
 describe("an entry of another writer", () => {
-  UNUSABLE.forEach(([what, value]) => {
-    it(`with ${what} names no server`, async () => {
-      const { put, listUsable, end } = startDocuments();
+  UNUSABLE_ENTRIES.forEach(([fault, value]) => {
+    it(`with ${fault} registers no server`, async () => {
+      const { put, listUsable, end } = startDocumentFollower();
       await put(KEY, value);
       assert.deepEqual(listUsable(), []);
       end();
     });
 
-    it(`with ${what} takes the server of its key out of use until the next good one`, async () => {
-      const { put, listUsable, end } = startDocuments();
+    it(`with ${fault} takes the server of its key out of use until the next valid entry`, async () => {
+      const { put, listUsable, end } = startDocumentFollower();
       await put(KEY, createServerDocument());
       await put(KEY, value);
       assert.deepEqual(listUsable(), []);
@@ -70,16 +71,16 @@
     });
   });
 
-  it("that does not say its start, where the server did, takes it out of use", async () => {
-    const { put, listUsable, end } = startDocuments();
+  it("without a start time, after one with a start time, takes the server out of use", async () => {
+    const { put, listUsable, end } = startDocumentFollower();
     await put(KEY, createServerDocument({ born: 1_000 }));
     await put(KEY, createServerDocument());
     assert.deepEqual(listUsable(), []);
     end();
   });
 
-  it("under a key that is no name of a server names none", async () => {
-    const { put, registry, end } = startDocuments();
+  it("under a key without a valid server name registers no server", async () => {
+    const { put, registry, end } = startDocumentFollower();
     await put("servers/", createServerDocument());
     await put("servers/e 1", createServerDocument());
     await put("servers/e1\r\nX-Forged: 1", createServerDocument());
@@ -89,8 +90,8 @@
     end();
   });
 
-  it("is logged once for its revision, however often the store is read", async () => {
-    const { clock, lines, put, store, end } = startDocuments();
+  it("is logged once per revision, however often the store is read", async () => {
+    const { clock, lines, put, store, end } = startDocumentFollower();
     await put(KEY, "{");
     for (let round = 0; round < 3; round++) {
       store.compact();
@@ -105,10 +106,10 @@
   });
 
   it("does not replace the configuration in force, here or at a peer", async () => {
-    const { put, versions, follower, end } = startDocuments();
+    const { put, versions, follower, end } = startDocumentFollower();
     await put("op/config", createConfigurationDocument(3));
     await put("op/config", "{");
-    const peer = startDocuments(() => false);
+    const peer = startDocumentFollower(() => false);
     peer.follower.applyCopy(follower.createCopy(STORE_START));
     assert.deepEqual([versions, peer.versions], [[3], [3]]);
     await put("op/config", createConfigurationDocument(4));
@@ -117,16 +118,16 @@
     peer.end();
   });
 
-  it("counts as an evacuation under the key of one: nothing is sent there", async () => {
-    const { put, listUsable, end } = startDocuments();
+  it("counts as an evacuation under the key of one, so that its failure domain has no usable server", async () => {
+    const { put, listUsable, end } = startDocumentFollower();
     await put(KEY, createServerDocument());
     await put("op/evacuate/north-a", "{");
     assert.deepEqual(listUsable(), []);
     end();
   });
 
-  it("of an instance gives no address to greet", async () => {
-    const { put, follower, end } = startDocuments();
+  it("of an instance adds no instance address", async () => {
+    const { put, follower, end } = startDocumentFollower();
     await put("havenspur/instances/a", { address: "10.0.0.7:7000" });
     await put("havenspur/instances/a", "{");
     await put("havenspur/instances/b", { address: 7 });
@@ -135,33 +136,33 @@
   });
 });
 
-/** What is written in one step: a server's key, and which entry. */
-const STEP = fc.record({
+/** One write: the number of a server and its entry; a number as entry is an index into `UNUSABLE_ENTRIES`. */
+const WRITE_ARBITRARY = fc.record({
   server: fc.integer({ min: 1, max: 3 }),
   entry: fc.oneof(
     fc.constant("good" as const),
     fc.constant("removed" as const),
-    fc.integer({ min: 0, max: UNUSABLE.length - 1 }),
+    fc.integer({ min: 0, max: UNUSABLE_ENTRIES.length - 1 }),
   ),
   isCompacted: fc.boolean(),
 });
 
 describe("readable entries", () => {
-  it("are in force whatever stands beside them, by store and by peer", async () => {
+  it("are in force whatever other entries there are, from the store and from a peer", async () => {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(STEP, { minLength: 1, maxLength: 12 }),
-        async (steps) => {
+        fc.array(WRITE_ARBITRARY, { minLength: 1, maxLength: 12 }),
+        async (writes) => {
           const { clock, put, store, follower, listUsable, end } =
-            startDocuments();
+            startDocumentFollower();
           const good = new Set<string>();
-          for (const { server, entry, isCompacted } of steps) {
+          for (const { server, entry, isCompacted } of writes) {
             const name = `e${server}`;
             const value = entry === "good"
               ? createServerDocument({ sequence: clock.nowMs() })
               : entry === "removed"
               ? undefined
-              : UNUSABLE[entry]![1];
+              : UNUSABLE_ENTRIES[entry]![1];
             if (entry === "good") good.add(name);
             else good.delete(name);
             await put(`servers/${name}`, value);
@@ -169,13 +170,13 @@
           }
           await clock.advance(5_000);
           follower.sweep();
-          const peer = startDocuments(() => false);
+          const peer = startDocumentFollower(() => false);
           peer.follower.applyCopy(follower.createCopy(STORE_START));
-          const wanted = [...good].sort();
+          const expected = [...good].sort();
           [listUsable(), peer.listUsable()].forEach((usable) =>
             assert.deepEqual(
               usable.map(({ entry }) => String(entry.id)).sort(),
-              wanted,
+              expected,
             )
           );
           end();
--- a/tests/lease_of_earlier_era_test.ts
+++ b/tests/lease_of_earlier_era_test.ts
@@ -33,7 +33,7 @@
   return { memory, client };
 }
 
-/** An instance that keeps its entry and refused calls in a store that it follows. */
+/** Starts an instance that writes its entry and its quarantined calls to a store that it follows. */
 function startInstance(clock: VirtualClock, store: MemoryStore) {
   const ended = new AbortController();
   CLEAN_UPS.push(() => ended.abort());
@@ -50,7 +50,7 @@
     value: JSON.stringify({ address: "north-1:1" }),
     readRevision: () => readRevision(OWN_KEY),
   });
-  const refused = new RefusedCallEntries({
+  const quarantinedCalls = new RefusedCallEntries({
     store,
     clock,
     random,
@@ -77,7 +77,7 @@
       });
       return follower;
     },
-    keepRefusedCall: (held) => void refused.keep(held),
+    keepRefusedCall: (call) => void quarantinedCalls.keep(call),
   });
   gateway.start(ended.signal);
   entry.start(ended.signal);
@@ -85,28 +85,28 @@
 }
 
 describe("a lease of an earlier era of the store", () => {
-  it("is not renewed, though the store has given its id to another", async () => {
+  it("is not renewed, though the store has granted its id to another instance", async () => {
     const { client, memory } = await startStore();
     const backup = memory.createBackup();
     const lease = (await client.grantLease(5_000))._unsafeUnwrap();
     assert.equal((await client.renewLease(lease))._unsafeUnwrap(), true);
     memory.restoreBackup(backup);
-    // Another instance gets the same id.
+    // Another instance gets a lease with the same id.
     await memory.grantLease(5_000);
     assert.equal((await client.renewLease(lease))._unsafeUnwrap(), false);
   });
 
-  it("is not ended, and no key is written under it", async () => {
+  it("does not revoke the later lease with its id, and no key is written under it", async () => {
     const { client, memory } = await startStore();
     const backup = memory.createBackup();
     const lease = (await client.grantLease(5_000))._unsafeUnwrap();
     memory.restoreBackup(backup);
-    const others = (await memory.grantLease(5_000))._unsafeUnwrap();
+    const otherLease = (await memory.grantLease(5_000))._unsafeUnwrap();
     await memory.swap({
       key: "other",
       value: "1",
       expectedRevision: 0,
-      leaseId: others,
+      leaseId: otherLease,
     });
     await client.read("other");
     const written = await client.swap({
@@ -122,20 +122,20 @@
   });
 });
 
-describe("what an instance had written before the store came back from a copy", () => {
-  it("is there again within a second: its entry, calls that are refused", async () => {
+describe("what an instance wrote before the store was restored from a backup", () => {
+  it("is written again within a second: its entry and its quarantined calls", async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
     await store.swap({ key: "any", value: "{}", expectedRevision: 0 });
     const backup = store.createBackup();
     const quarantine = startInstance(clock, store);
-    const bad = createContent("bad");
+    const crashingContent = createContent("bad");
     await clock.advance(500);
     ["s1", "s2", "s3"].forEach((server) =>
-      quarantine.recordEnd(bad, toBackendId(server), clock.nowMs())
+      quarantine.recordEnd(crashingContent, toBackendId(server), clock.nowMs())
     );
     await clock.advance(1_000);
-    const keys = [OWN_KEY, toRefusedCallKey(bad.fingerprint)];
+    const keys = [OWN_KEY, toRefusedCallKey(crashingContent.fingerprint)];
     const readAll = async () =>
       (await store.readPrefix("havenspur/"))._unsafeUnwrap()
         .map(({ key }) => key);
--- a/tests/restarted_server_test.ts
+++ b/tests/restarted_server_test.ts
@@ -8,7 +8,7 @@
 import {
   createServerDocument,
   SERVER_REGION,
-  startDocuments,
+  startDocumentFollower,
 } from "./document_fixture.ts";
 import { STORE_START } from "../store/mod.ts";
 
@@ -23,7 +23,7 @@
 }
 
 async function start(born = 1_000) {
-  const documents = startDocuments();
+  const documents = startDocumentFollower();
   await documents.put(KEY, createStart(born));
   const readOnly = () => {
     const usable = documents.listUsable();
@@ -138,7 +138,7 @@
 
   describe("when its start is told by a peer", () => {
     it("is the same server as told by the store", async () => {
-      const told = startDocuments(() => false);
+      const told = startDocumentFollower(() => false);
       const first = await start(2_000);
       told.follower.applyCopy(first.follower.createCopy(STORE_START));
       assert.deepEqual(
@@ -153,7 +153,7 @@
 
 describe("a server that does not say when it started", () => {
   it("is named by its id alone", async () => {
-    const { put, listUsable, end } = startDocuments();
+    const { put, listUsable, end } = startDocumentFollower();
     await put(KEY, createServerDocument());
     assert.deepEqual(listUsable().map(({ entry }) => entry.id), ["e1"]);
     end();
--- a/tests/sharing_fixture.ts
+++ b/tests/sharing_fixture.ts
@@ -1,12 +1,12 @@
 import { type InstanceId, toInstanceId } from "../ids/mod.ts";
 import { createMember } from "./member_fixture.ts";
 
-/** Returns the name of an instance of region `north`. */
+/** Returns the id of an instance of region `north`. */
 export function toMemberName(index: number): InstanceId {
   return toInstanceId(`north-${index}`);
 }
 
-/** Returns who shares bounds as one instance sees it; what it sees can be changed. */
+/** Returns one instance's view of the instances that share rate bounds; tests may change it. */
 export function createSharing(
   self: InstanceId,
   known: readonly InstanceId[],
@@ -23,12 +23,12 @@
 }
 
 /**
- * Returns the members that an instance knows, where half of them do not know one of the
- * others yet.
+ * Returns the members that an instance knows, where every second instance does not know
+ * one of the others yet.
  *
  * @param all Members.
- * @param index Place of the instance among them.
- * @param unknown Which is not known; any number.
+ * @param index Index of the instance among the members.
+ * @param unknown Index of the unknown member, modulo the number of members.
  */
 export function listKnownMembers(
   all: readonly InstanceId[],
@@ -41,15 +41,15 @@
   );
 }
 
-/** Returns the most sends in any span of some milliseconds that ends with one. */
+/** Returns the maximum number of sends in any span of `spanMs` milliseconds that ends with a send. */
 export function countMostSends(
   sentMs: readonly number[],
   spanMs: number,
 ): number {
-  return sentMs.reduce((most, endMs) => {
+  return sentMs.reduce((max, endMs) => {
     const inSpan = sentMs.filter((atMs) =>
       atMs <= endMs && atMs > endMs - spanMs
     );
-    return Math.max(most, inSpan.length);
+    return Math.max(max, inSpan.length);
   }, 0);
 }
--- a/tests/state_fixture.ts
+++ b/tests/state_fixture.ts
@@ -5,9 +5,9 @@
 import type { StoreEntry } from "../store/mod.ts";
 
 /**
- * Documents of a test: `config` holds a version, `server/ID` is `ready` or
- * `draining`, and maybe the number of the write, `evacuated/DOMAIN` is there or not. The
- * value `malformed` is none.
+ * Decodes the documents of a test: `config` holds a version, `server/ID` holds `ready` or
+ * `draining` and optionally the sequence number of the write, and the presence of
+ * `evacuated/DOMAIN` evacuates a failure domain. The value `malformed` is refused.
  */
 export const TEST_DECODER: StateDecoder = {
   decode: (key, value) => {
@@ -55,10 +55,10 @@
 };
 
 /**
- * Returns a copy of everything that a peer knows.
+ * Returns a full copy of the state that a peer has.
  *
- * @param revision Up to which it knows the store.
- * @param entries All that is there.
+ * @param revision Store revision up to which the peer has followed the store.
+ * @param entries All entries of the store at that revision.
  */
 export function createFullCopy(
   revision: number,
--- a/tests/state_test.ts
+++ b/tests/state_test.ts
@@ -50,14 +50,14 @@
     return { clock, store, holders };
   }
 
-  it("is held by one, and passes on with a higher token when its holder is paused", async () => {
+  it("is held by one instance, and passes to another with a higher token when its holder is paused", async () => {
     const { clock, holders } = createHolders(2);
     const [first, second] = holders as [LeaseHolder, LeaseHolder];
     await first.renew();
     await second.renew();
     assert.ok(first.held && !second.held);
     const { token } = first.held;
-    // The holder is paused past its lease, and does not know.
+    // The holder is paused until its lease has expired, and does not notice.
     await clock.advance(LEASE_TERMS.ttlMs + 1);
     await second.renew();
     assert.ok(second.held!.token > token);
@@ -66,7 +66,7 @@
     assert.equal(first.held, undefined);
   });
 
-  it("is not relied on after a suspension, in which its holder's clock stood still", async () => {
+  it("is not relied on after a suspension that stopped its holder's clock", async () => {
     const { clock, store } = createHolders(0);
     let suspendedMs = 0;
     const parts = {
@@ -91,7 +91,7 @@
     assert.ok(!first.isSafe(0));
   });
 
-  it("is not relied on in its last part, before the store lets anyone else in", async () => {
+  it("is not relied on close to its expiry, before the store grants it to another", async () => {
     const { clock, holders } = createHolders(1);
     const [first] = holders as [LeaseHolder];
     await first.renew();
@@ -100,7 +100,7 @@
     assert.equal(first.isSafe(200), false);
   });
 
-  it("knows its own lease after a lost answer", async () => {
+  it("recognizes its own lease after a lost answer", async () => {
     const { store, holders } = createHolders(1);
     store.faults.loseAnswers = 1;
     await holders[0]!.renew();
@@ -109,14 +109,14 @@
 });
 
 describe("decidePlacement()", () => {
-  const stateOf = fc.record({
+  const stateArbitrary = fc.record({
     version: fc.constantFrom(undefined, "v1", "v2"),
     loading: fc.constant(undefined),
     orderId: fc.constant(undefined),
     failure: fc.constant(undefined),
   });
 
-  function run(
+  function runUntilConverged(
     states: readonly EngineState[],
     replicas: number,
     maxLoads: number,
@@ -151,34 +151,34 @@
         loads + alreadyLoading <= maxLoads,
         "more loads at once than allowed",
       );
-      // Loads that were out end; then the new orders take effect.
+      // Loads that were running complete; then the new orders take effect.
       engines = engines.map((engine) => {
         const order = orders.find((each) => each.engine === engine.id);
-        const ended = engine.state?.loading === undefined ? engine.state! : {
+        const loaded = engine.state?.loading === undefined ? engine.state! : {
           ...engine.state,
           version: engine.state.loading,
           loading: undefined,
         };
-        if (order === undefined) return { ...engine, state: ended };
+        if (order === undefined) return { ...engine, state: loaded };
         if (order.version === undefined) {
-          return { ...engine, state: { ...ended, version: undefined } };
+          return { ...engine, state: { ...loaded, version: undefined } };
         }
-        return { ...engine, state: { ...ended, loading: order.version } };
+        return { ...engine, state: { ...loaded, loading: order.version } };
       });
       servingCounts.push(
         engines.filter(({ state }) => state?.version && !state.loading).length,
       );
     }
-    assert.fail("it does not converge");
+    assert.fail("placement does not converge");
   }
 
   it("converges from any reported state, and then orders nothing", () => {
     fc.assert(fc.property(
-      fc.array(stateOf, { minLength: 1, maxLength: 8 }),
+      fc.array(stateArbitrary, { minLength: 1, maxLength: 8 }),
       fc.nat(8),
       fc.integer({ min: 1, max: 3 }),
       (states, replicas, maxLoads) => {
-        const { engines } = run(
+        const { engines } = runUntilConverged(
           states,
           Math.min(replicas, states.length),
           maxLoads,
@@ -187,7 +187,7 @@
           state?.version === "v2"
         ).length;
         const wanted = Math.min(replicas, states.length);
-        // The last engine that serves is not taken out of use for a load.
+        // The last engine that serves is not taken out of service to load another version.
         const isStuckWithOne =
           engines.filter(({ state }) => state?.version).length === 1;
         assert.ok(
@@ -200,11 +200,15 @@
 
   it("keeps one engine serving throughout, if one served at first", () => {
     fc.assert(fc.property(
-      fc.array(stateOf, { minLength: 2, maxLength: 8 }),
+      fc.array(stateArbitrary, { minLength: 2, maxLength: 8 }),
       fc.integer({ min: 1, max: 3 }),
       (states, maxLoads) => {
         if (!states.some(({ version }) => version !== undefined)) return;
-        const { servingCounts } = run(states, states.length, maxLoads);
+        const { servingCounts } = runUntilConverged(
+          states,
+          states.length,
+          maxLoads,
+        );
         assert.ok(
           servingCounts.every((count) => count >= 1),
           `${servingCounts}`,
@@ -213,7 +217,7 @@
     ));
   });
 
-  it("says why it waits, after a failed load and for the rate of the weight store", () => {
+  it("gives the reason for waiting, after a failed load and for the rate limit of the weight store", () => {
     const failed = {
       version: undefined,
       loading: undefined,
@@ -247,9 +251,9 @@
   });
 });
 
-describe("usage for charging", () => {
+describe("usage accounting", () => {
   const team = toTeamId("t");
-  const step = fc.record({
+  const stepArbitrary = fc.record({
     actor: fc.nat(2),
     action: fc.constantFrom("use", "flush", "fold", "crash"),
     fault: fc.constantFrom(
@@ -262,93 +266,97 @@
     ),
   });
 
-  it("never counts twice, and loses at most what a crash had not flushed", async () => {
+  it("never counts a request twice, and loses at most those that were not flushed before a crash", async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(step, { maxLength: 50 }), async (steps) => {
-        const clock = new VirtualClock();
-        const store = new MemoryStore(clock);
-        const random = createRandom(5);
-        const createChangeId = () => toChangeId(createToken(random));
-        let started = 0;
-        const start = () => {
-          const incarnation = `i:${started++}`;
-          return {
-            incarnation,
-            meter: new UsageMeter(),
-            flusher: new UsageFlusher({ store, incarnation, createChangeId }),
+      fc.asyncProperty(
+        fc.array(stepArbitrary, { maxLength: 50 }),
+        async (steps) => {
+          const clock = new VirtualClock();
+          const store = new MemoryStore(clock);
+          const random = createRandom(5);
+          const createChangeId = () => toChangeId(createToken(random));
+          let started = 0;
+          const start = () => {
+            const incarnation = `i:${started++}`;
+            return {
+              incarnation,
+              meter: new UsageMeter(),
+              flusher: new UsageFlusher({ store, incarnation, createChangeId }),
+            };
           };
-        };
-        const actors = [start(), start(), start()];
-        let counted = 0;
-        let mayBeLost = 0;
-        let unflushed = [0, 0, 0];
-        for (const { actor, action, fault } of steps) {
-          const { meter, flusher } = actors[actor]!;
-          store.faults.loseAnswers = fault === "loseAnswer" ? 1 : 0;
-          store.faults.loseRequests = fault === "loseRequest" ? 1 : 0;
-          store.setDown(fault === "down");
-          switch (action) {
-            case "use":
-              meter.record(team, 10);
-              counted++;
-              unflushed[actor]!++;
-              break;
-            case "flush": {
-              const flushed = await flusher.flush(
-                meter.readTotals(),
-                clock.nowMs(),
-              );
-              // What the flush after a seal brings goes to the next part, with the next flush.
-              if (flushed.isOk() && fault === "none") {
-                const again = await flusher.flush(
+          const actors = [start(), start(), start()];
+          let counted = 0;
+          let mayBeLost = 0;
+          let unflushed = [0, 0, 0];
+          for (const { actor, action, fault } of steps) {
+            const { meter, flusher } = actors[actor]!;
+            store.faults.loseAnswers = fault === "loseAnswer" ? 1 : 0;
+            store.faults.loseRequests = fault === "loseRequest" ? 1 : 0;
+            store.setDown(fault === "down");
+            switch (action) {
+              case "use":
+                meter.record(team, 10);
+                counted++;
+                unflushed[actor]!++;
+                break;
+              case "flush": {
+                const flushed = await flusher.flush(
                   meter.readTotals(),
                   clock.nowMs(),
                 );
-                if (again.isOk()) unflushed[actor] = 0;
+                // A flush that finds its document sealed writes nothing;
+                // the next flush writes the rest to the next part.
+                if (flushed.isOk() && fault === "none") {
+                  const again = await flusher.flush(
+                    meter.readTotals(),
+                    clock.nowMs(),
+                  );
+                  if (again.isOk()) unflushed[actor] = 0;
+                }
+                break;
               }
-              break;
+              case "fold":
+                // Folds all incarnations, also live ones that are wrongly considered dead.
+                await foldUsage({
+                  store,
+                  createChangeId,
+                  isGone: () => true,
+                  nowMs: clock.nowMs() + 120_000,
+                });
+                break;
+              case "crash":
+                mayBeLost += unflushed[actor]!;
+                unflushed = unflushed.map((count, at) =>
+                  at === actor ? 0 : count
+                );
+                actors[actor] = start();
+                break;
             }
-            case "fold":
-              // Folds anyone, also those that are live: they were only thought to be gone.
-              await foldUsage({
-                store,
-                createChangeId,
-                isGone: () => true,
-                nowMs: clock.nowMs() + 120_000,
-              });
-              break;
-            case "crash":
-              mayBeLost += unflushed[actor]!;
-              unflushed = unflushed.map((count, at) =>
-                at === actor ? 0 : count
-              );
-              actors[actor] = start();
-              break;
           }
-        }
-        Object.assign(store.faults, { loseAnswers: 0, loseRequests: 0 });
-        store.setDown(false);
-        for (const { flusher, meter } of actors) {
-          await flusher.flush(meter.readTotals(), clock.nowMs());
-          await flusher.flush(meter.readTotals(), clock.nowMs());
-        }
-        const total = (await readUsage(store))._unsafeUnwrap();
-        const requests = total[team]?.requests ?? 0;
-        assert.ok(
-          requests <= counted,
-          `${requests} of ${counted}: counted twice`,
-        );
-        assert.ok(
-          requests >= counted - mayBeLost,
-          `${requests} of ${counted}, ${mayBeLost} lost`,
-        );
-        assert.equal(total[team]?.tokens ?? 0, requests * 10);
-      }),
+          Object.assign(store.faults, { loseAnswers: 0, loseRequests: 0 });
+          store.setDown(false);
+          for (const { flusher, meter } of actors) {
+            await flusher.flush(meter.readTotals(), clock.nowMs());
+            await flusher.flush(meter.readTotals(), clock.nowMs());
+          }
+          const total = (await readUsage(store))._unsafeUnwrap();
+          const requests = total[team]?.requests ?? 0;
+          assert.ok(
+            requests <= counted,
+            `${requests} of ${counted}: counted twice`,
+          );
+          assert.ok(
+            requests >= counted - mayBeLost,
+            `${requests} of ${counted}, ${mayBeLost} lost`,
+          );
+          assert.equal(total[team]?.tokens ?? 0, requests * 10);
+        },
+      ),
       { numRuns: 150 },
     );
   });
 
-  it("adds up", () => {
+  it("adds totals of the same team", () => {
     const one: UsageTotals = { t: { requests: 1, tokens: 2 } };
     assert.deepEqual(addTotals(one, one), { t: { requests: 2, tokens: 4 } });
   });
@@ -381,7 +389,7 @@
     return { store, batches, submit };
   }
 
-  it("accepts a batch once, also after lost answers, and refuses another under its key", async () => {
+  it("accepts a batch once, also after lost answers, and refuses another under the same key", async () => {
     const { store, submit } = createBatches();
     store.faults.loseAnswers = 1;
     assert.ok((await submit()).isOk());
@@ -391,7 +399,7 @@
     assert.equal(other._unsafeUnwrapErr().name, "KEY_BODY_MISMATCH");
   });
 
-  it("keeps the first answer, whoever comes later", async () => {
+  it("keeps the first answer to an item when another one is written later", async () => {
     const { batches, submit } = createBatches();
     await submit();
     const answer = (status: number) => ({
@@ -403,7 +411,7 @@
     assert.deepEqual(all.map(({ status }) => status), [200]);
   });
 
-  it("removes a cancelled batch after its retention, and leaves nothing behind", async () => {
+  it("removes a cancelled batch with all its keys after its retention", async () => {
     const { store, batches, submit } = createBatches();
     await submit();
     const head = (await batches.end("b1", "cancelled", 500))._unsafeUnwrap();
@@ -418,7 +426,7 @@
 });
 
 describe("a batch of 2,000 items", () => {
-  it("survives the death of every daemon in turn, each answer once and none missing", async () => {
+  it("is answered in full, each item once, though the daemons are killed one after the other", async () => {
     const fleet = new FakeFleet({ regions: ["r1"], storeCallsPerSecond: 600 });
     await fleet.clock.advance(3_000);
     const engines = [1, 2, 3, 4].map((number) => {
@@ -469,7 +477,7 @@
       fleet.start(victim.record);
     }
     let status = "";
-    for (let waited = 0; waited < 150 && status !== "done"; waited++) {
+    for (let polls = 0; polls < 150 && status !== "done"; polls++) {
       const read = fleet.call(fleet.daemons[1]!, {
         token: "t",
         path: `/v1/batches/${id}`,
--- a/tests/store_contract_test.ts
+++ b/tests/store_contract_test.ts
@@ -11,12 +11,14 @@
   for (const cleanUp of CLEAN_UPS.splice(0)) await cleanUp();
 });
 
-interface Subject {
+/** An implementation under test. */
+interface TestedStore {
   readonly store: RevisionedStore;
+  /** The store behind it, in which tests cause faults. */
   readonly memory: MemoryStore;
 }
 
-const SUBJECTS: Readonly<Record<string, () => Promise<Subject>>> = {
+const TESTED_STORES: Readonly<Record<string, () => Promise<TestedStore>>> = {
   "the store in memory": () => {
     const memory = new MemoryStore(systemClock);
     return Promise.resolve({ store: memory, memory });
@@ -30,9 +32,9 @@
   },
 };
 
-Object.entries(SUBJECTS).forEach(([name, create]) => {
+Object.entries(TESTED_STORES).forEach(([name, create]) => {
   describe(name, () => {
-    it("writes a key only from the revision that it has", async () => {
+    it("writes a key only if the key has the expected revision", async () => {
       const { store } = await create();
       const first = (await store.swap({
         key: "k",
@@ -85,7 +87,7 @@
       });
     });
 
-    it("waits for a change, and ends without one", async () => {
+    it("waits for a change, and returns no events when none comes in time", async () => {
       const { store } = await create();
       const waiting = store.awaitChanges({
         prefix: "",
@@ -108,7 +110,7 @@
       });
     });
 
-    it("says when it has dropped the history", async () => {
+    it("reports that it has compacted the history", async () => {
       const { store, memory } = await create();
       await store.swap({ key: "a", value: "1", expectedRevision: 0 });
       memory.compact();
@@ -123,7 +125,7 @@
       });
     });
 
-    it("says that it came back from an older copy, and gives revisions out again", async () => {
+    it("reports a new era after a restore from a backup, and assigns revisions a second time", async () => {
       const { store, memory } = await create();
       await store.swap({ key: "a", value: "1", expectedRevision: 0 });
       const backup = memory.createBackup();
@@ -152,7 +154,7 @@
       });
     });
 
-    it("deletes the keys of a lease that ends", async () => {
+    it("deletes the keys of a lease that is revoked", async () => {
       const { store } = await create();
       const leaseId = (await store.grantLease(5_000))._unsafeUnwrap();
       await store.swap({ key: "a", value: "1", expectedRevision: 0, leaseId });
@@ -162,7 +164,7 @@
       assert.equal((await store.read("a"))._unsafeUnwrap(), undefined);
     });
 
-    it("fails while it is down, and does nothing", async () => {
+    it("fails while it is down, and writes nothing", async () => {
       const { store, memory } = await create();
       memory.setDown(true);
       const written = await store.swap({
--- a/tests/store_restored_test.ts
+++ b/tests/store_restored_test.ts
@@ -4,12 +4,16 @@
 import { MemoryStore } from "../standin/memory_store.ts";
 import { putKey, startFollower } from "./follower_fixture.ts";
 
-/** Time in which a change must be in force that the store accepted after its return, in milliseconds. */
-const IN_FORCE_MS = 500;
-/** Time in which servers and operators have written again what was lost, in milliseconds. */
-const WRITTEN_AGAIN_MS = 2_000;
+/** Time within which a change that the restored store accepts must be in force, in milliseconds. */
+const IN_FORCE_WITHIN_MS = 500;
+/** Time within which servers and operators write again what the restore lost, in milliseconds. */
+const WRITTEN_AGAIN_WITHIN_MS = 2_000;
 
-function start(store: MemoryStore, clock: VirtualClock, isRelay = true) {
+function startInstance(
+  store: MemoryStore,
+  clock: VirtualClock,
+  isRelay = true,
+) {
   const { ended, ...started } = startFollower({
     clock,
     store,
@@ -18,11 +22,11 @@
   return { ...started, end: () => ended.abort() };
 }
 
-/** A follower, and a store that may come back from a copy. */
-function create() {
+/** Starts a follower of a new store. */
+function startWithStore() {
   const clock = new VirtualClock();
   const store = new MemoryStore(clock);
-  const first = start(store, clock);
+  const first = startInstance(store, clock);
   const put = (key: string, value: string | undefined) =>
     putKey(store, key, value);
   const run = async (ms: number) => {
@@ -34,43 +38,43 @@
   return { ...first, clock, store, put, run };
 }
 
-/** A store with a configuration and two servers, and writes after the copy of it. */
-async function createRestored(
-  writeAfterCopy: (world: ReturnType<typeof create>) => Promise<void>,
+/** Restores a store with a configuration and two servers to a backup from before some writes. */
+async function restoreStore(
+  writeAfterBackup: (setup: ReturnType<typeof startWithStore>) => Promise<void>,
 ) {
-  const world = create();
-  await world.put("config", "5");
-  await world.put("server/s1", "ready 1");
-  await world.put("server/s2", "ready 1");
-  await world.run(500);
-  const backup = world.store.createBackup();
-  await writeAfterCopy(world);
-  await world.run(500);
-  world.store.restoreBackup(backup);
-  await world.run(100);
-  return world;
+  const setup = startWithStore();
+  await setup.put("config", "5");
+  await setup.put("server/s1", "ready 1");
+  await setup.put("server/s2", "ready 1");
+  await setup.run(500);
+  const backup = setup.store.createBackup();
+  await writeAfterBackup(setup);
+  await setup.run(500);
+  setup.store.restoreBackup(backup);
+  await setup.run(100);
+  return setup;
 }
 
-describe("a store that came back from an older copy", () => {
-  it("has its next changes in force at once: a configuration, a server that leaves", async () => {
-    const { end, listUsable, put, run, versions } = await createRestored(
+describe("a store that was restored from an older backup", () => {
+  it("has its next changes in force at once: a configuration, a server that drains", async () => {
+    const { end, listUsable, put, run, versions } = await restoreStore(
       async ({ put }) => {
         for (const slot of ["a", "b", "c", "d"]) await put(`other/${slot}`, "");
       },
     );
     await put("config", "6");
     await put("server/s2", "draining 2");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(versions, [5, 6]);
     assert.deepEqual(listUsable(), ["s1"]);
     end();
   });
 
-  it("does not bring an older configuration back, here or at an instance that starts", async () => {
+  it("does not bring back an older configuration, here or at an instance that starts", async () => {
     const { clock, end, follower, put, run, store, versions } =
-      await createRestored(({ put }) => put("config", "6"));
-    const second = start(store, clock);
-    await run(IN_FORCE_MS);
+      await restoreStore(({ put }) => put("config", "6"));
+    const second = startInstance(store, clock);
+    await run(IN_FORCE_WITHIN_MS);
     second.follower.applyCopy(
       follower.createCopy(second.follower.known.store),
     );
@@ -78,29 +82,29 @@
     assert.equal(second.follower.known.configurationVersion, 6);
     await put("config", "6");
     await put("config", "7");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(versions, [5, 6, 7]);
     assert.equal(second.follower.known.configurationVersion, 7);
     second.end();
     end();
   });
 
-  it("does not bring a server back that had said that it leaves", async () => {
-    const { end, listUsable, put, run } = await createRestored(
+  it("does not bring back a server that was draining", async () => {
+    const { end, listUsable, put, run } = await restoreStore(
       ({ put }) => put("server/s2", "draining 2"),
     );
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(listUsable(), ["s1"]);
     await run(60_000);
     assert.deepEqual(listUsable(), ["s1"]);
     await put("server/s2", "draining 2");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(listUsable(), ["s1"]);
     end();
   });
 
-  it("does not bring a server back that had left, unless it writes again", async () => {
-    const { end, listUsable, put, run } = await createRestored(
+  it("does not bring back a server that had drained and left, unless it writes again", async () => {
+    const { end, listUsable, put, run } = await restoreStore(
       async ({ put, run }) => {
         await put("server/s1", undefined);
         await put("server/s2", "draining 2");
@@ -108,16 +112,16 @@
         await put("server/s2", undefined);
       },
     );
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(listUsable(), []);
     await put("server/s1", "ready 2");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(listUsable(), ["s1"]);
     end();
   });
 
-  it("takes a server that had lapsed as gone no longer than its entry could outlive it", async () => {
-    const { end, listUsable, run } = await createRestored(
+  it("brings back a server whose entry had expired, after the time that the entry may outlive the server", async () => {
+    const { end, listUsable, run } = await restoreStore(
       ({ put }) => put("server/s1", undefined),
     );
     await run(12_000);
@@ -125,14 +129,14 @@
     end();
   });
 
-  it("keeps servers that the copy does not have for as long as they may take to write again", async () => {
-    const { end, listUsable, put, run } = await createRestored(
+  it("retains servers that the backup lacks for as long as they may take to write again", async () => {
+    const { end, listUsable, put, run } = await restoreStore(
       async ({ put }) => {
         await put("server/s3", "ready 1");
         await put("server/s4", "ready 1");
       },
     );
-    await run(WRITTEN_AGAIN_MS);
+    await run(WRITTEN_AGAIN_WITHIN_MS);
     assert.deepEqual(listUsable(), ["s1", "s2", "s3", "s4"]);
     await put("server/s3", "ready 1");
     await run(4_000);
@@ -140,23 +144,23 @@
     end();
   });
 
-  it("keeps a failure domain evacuated that the copy does not have, until it is not written again", async () => {
-    const { end, listUsable, put, run } = await createRestored(
+  it("retains an evacuation that the backup lacks, and ends it when its rewritten entry is removed", async () => {
+    const { end, listUsable, put, run } = await restoreStore(
       ({ put }) => put("evacuated/a", "{}"),
     );
-    await run(WRITTEN_AGAIN_MS);
+    await run(WRITTEN_AGAIN_WITHIN_MS);
     assert.deepEqual(listUsable(), []);
     await put("evacuated/a", "{}");
     await run(10_000);
     assert.deepEqual(listUsable(), []);
     await put("evacuated/a", undefined);
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     assert.deepEqual(listUsable(), ["s1", "s2"]);
     end();
   });
 
-  it("ends an evacuation that nobody writes again", async () => {
-    const { end, listUsable, run } = await createRestored(
+  it("ends an evacuation that the backup lacks and nobody writes again", async () => {
+    const { end, listUsable, run } = await restoreStore(
       ({ put }) => put("evacuated/a", "{}"),
     );
     await run(10_000);
@@ -164,17 +168,17 @@
     end();
   });
 
-  it("is followed from its new revisions by an instance that hears of it from another one", async () => {
-    const { clock, end, follower, put, run, store } = await createRestored(
+  it("is followed from its new revisions by an instance that gets copies from another one", async () => {
+    const { clock, end, follower, put, run, store } = await restoreStore(
       async ({ put }) => {
         for (const slot of ["a", "b", "c", "d"]) await put(`other/${slot}`, "");
       },
     );
-    const other = start(store, clock, false);
-    await run(IN_FORCE_MS);
+    const other = startInstance(store, clock, false);
+    await run(IN_FORCE_WITHIN_MS);
     await put("server/s2", "draining 2");
     await put("config", "6");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     const { store: known } = other.follower.known;
     assert.ok(other.follower.applyCopy(follower.createCopy(known)));
     assert.equal(other.follower.known.configurationVersion, 6);
@@ -183,27 +187,27 @@
     end();
   });
 
-  it("is told of by an instance that knows it, whatever the revisions of before were", async () => {
-    const world = create();
-    const { clock, end, follower, put, run, store } = world;
+  it("replaces the state of an instance with a higher earlier revision, through copies from an instance that follows it", async () => {
+    const setup = startWithStore();
+    const { clock, end, follower, put, run, store } = setup;
     await put("config", "5");
     await put("server/s1", "ready 1");
-    const other = start(store, clock, false);
-    await run(IN_FORCE_MS);
+    const other = startInstance(store, clock, false);
+    await run(IN_FORCE_WITHIN_MS);
     const backup = store.createBackup();
     for (const slot of ["a", "b", "c"]) await put(`other/${slot}`, "");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     other.follower.applyCopy(follower.createCopy(other.follower.known.store));
     const before = other.follower.createCopy({ era: 0, revision: 0 });
     store.restoreBackup(backup);
     await put("server/s1", "draining 2");
-    await run(IN_FORCE_MS);
+    await run(IN_FORCE_WITHIN_MS);
     const copy = follower.createCopy(other.follower.known.store);
     assert.ok(other.follower.applyCopy(copy));
     assert.deepEqual(other.listUsable(), []);
-    // What an instance still tells that does not know of it says nothing new.
+    // A copy from an instance that does not know of the restore changes nothing.
     assert.equal(follower.applyCopy(before), false);
-    assert.deepEqual(world.listUsable(), []);
+    assert.deepEqual(setup.listUsable(), []);
     other.end();
     end();
   });
