--- a/tests/ending_call_fleet_test.ts
+++ b/tests/ending_call_fleet_test.ts
@@ -1,7 +1,4 @@
-// What callers would see with `havenspurd`: a call under which model engines end is
-// repeated by its caller and ends one engine after the other. The cause is the one of the
-// gateway of plain HTTP calls (see server_ending_call_test.ts): what a call did to engines
-// was forgotten with it, and known to one daemon.
+// Guards against a call that crashes engine after engine of `havenspurd`: its crashes were known to one call at one daemon.
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
 import {
@@ -13,15 +10,20 @@
 
 const TOKEN = "token";
 const REGIONS = ["r1", "r2", "r3"];
-const ENDING = { model: "m", prompt: "bad", max_tokens: 4, ends_server: true };
-/** Time after which all daemons know, in milliseconds: as users measure it. */
-const KNOWN_AFTER_MS = 5_000;
+const CRASHING_BODY = {
+  model: "m",
+  prompt: "bad",
+  max_tokens: 4,
+  ends_server: true,
+};
+/** Time after which all daemons must quarantine the call, as users measure it, in milliseconds. */
+const QUARANTINED_AFTER_MS = 5_000;
 const ALLOWED_SENDS = 3;
 
 const FLEETS: FakeFleet[] = [];
 afterEach(() => FLEETS.splice(0).forEach((fleet) => fleet.stop()));
 
-async function start(): Promise<FakeFleet> {
+async function startFleet(): Promise<FakeFleet> {
   const fleet = new FakeFleet({ regions: REGIONS });
   FLEETS.push(fleet);
   await fleet.clock.advance(3_000);
@@ -52,72 +54,72 @@
   return fleet;
 }
 
-/** Calls a daemon and returns the result code; 0: it was answered. */
-async function ask(
+/** Calls a daemon and returns the result code; 0 if the call was answered. */
+async function callDaemon(
   fleet: FakeFleet,
   daemon: FakeDaemon,
   body: object,
-  forMs = 2_500,
+  durationMs = 2_500,
 ): Promise<number> {
-  const asked = fleet.call(daemon, {
+  const pending = fleet.call(daemon, {
     token: TOKEN,
     path: "/v1/completions",
     headers: { "x-deadline-ms": "2000" },
     body,
   });
-  await fleet.clock.advance(forMs);
-  const reply = await asked;
+  await fleet.clock.advance(durationMs);
+  const reply = await pending;
   return Number(reply.headers["x-result-code"] ?? "0");
 }
 
-function listEndingRuns({ backend }: FakeFleet): readonly number[] {
+function listCrashingRuns({ backend }: FakeFleet): readonly number[] {
   return [...backend.engines.values()].flatMap(({ runs }) => runs)
     .filter(({ body }) => body.includes("ends_server"))
     .map(({ atMs }) => atMs).sort((a, b) => a - b);
 }
 
-describe("a call under which engines end", () => {
-  it("is kept from them by all daemons once it has ended three", async () => {
-    const fleet = await start();
-    for (let turn = 0; turn < 36; turn++) {
-      await ask(
+describe("a call that crashes engines", () => {
+  it("is no longer sent to engines by any daemon once it has crashed three", async () => {
+    const fleet = await startFleet();
+    for (let round = 0; round < 36; round++) {
+      await callDaemon(
         fleet,
-        fleet.daemons[turn % fleet.daemons.length]!,
-        ENDING,
+        fleet.daemons[round % fleet.daemons.length]!,
+        CRASHING_BODY,
         800,
       );
     }
-    const runs = listEndingRuns(fleet);
-    const late = runs.filter((atMs) => atMs > runs[2]! + KNOWN_AFTER_MS);
+    const runs = listCrashingRuns(fleet);
+    const late = runs.filter((atMs) => atMs > runs[2]! + QUARANTINED_AFTER_MS);
     assert.ok(runs.length >= 3);
     assert.ok(late.length <= ALLOWED_SENDS, `${late.length} of ${runs.length}`);
   });
 
-  it("is tried at no further engine once its own attempts have ended three", async () => {
-    const fleet = await start();
+  it("is tried at no further engine once its own attempts have crashed three", async () => {
+    const fleet = await startFleet();
     const [daemon] = fleet.daemons;
-    // Two engines of the region end, and the one that is back first a second time.
-    await ask(fleet, daemon!, ENDING, 800);
+    // Both engines of the region crash; the one that is replaced first crashes a second time.
+    await callDaemon(fleet, daemon!, CRASHING_BODY, 800);
     await fleet.clock.advance(12_000);
-    const code = await ask(fleet, daemon!, ENDING, 2_500);
+    const code = await callDaemon(fleet, daemon!, CRASHING_BODY, 2_500);
     assert.equal(code, 1401);
-    assert.equal(listEndingRuns(fleet).length, 3);
+    assert.equal(listCrashingRuns(fleet).length, 3);
   });
 
-  it("is refused with a code of its own, and other calls are served", async () => {
-    const fleet = await start();
-    for (let turn = 0; turn < 18; turn++) {
-      await ask(
+  it("is refused with a result code of its own, and other calls are served", async () => {
+    const fleet = await startFleet();
+    for (let round = 0; round < 18; round++) {
+      await callDaemon(
         fleet,
-        fleet.daemons[turn % fleet.daemons.length]!,
-        ENDING,
+        fleet.daemons[round % fleet.daemons.length]!,
+        CRASHING_BODY,
         800,
       );
     }
     await fleet.clock.advance(8_000);
-    const code = await ask(fleet, fleet.daemons[4]!, ENDING);
+    const code = await callDaemon(fleet, fleet.daemons[4]!, CRASHING_BODY);
     const other = { model: "m", prompt: "good", max_tokens: 4 };
     assert.equal(code, 1406);
-    assert.equal(await ask(fleet, fleet.daemons[4]!, other), 0);
+    assert.equal(await callDaemon(fleet, fleet.daemons[4]!, other), 0);
   });
 });
--- a/tests/refused_call_kept_test.ts
+++ b/tests/refused_call_kept_test.ts
@@ -1,5 +1,4 @@
-// What callers would see: all instances lose their power at once, none knows any more
-// which call ended the servers before, and the call ends three more.
+// Guards against losing the quarantine when all instances lose power at once: the same call would crash three more servers.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom, VirtualClock } from "../clock/mod.ts";
@@ -13,9 +12,9 @@
 import { createVirtualGateway } from "./virtual_gateway.ts";
 
 const REGIONS = new Map([[toFailureDomainId("north-a"), toRegionId("north")]]);
-const BAD = createContent("bad");
+const CRASHING_CONTENT = createContent("bad");
 
-/** Starts an instance that follows the store alone: it hears of no other. */
+/** Starts an instance that follows the store and receives no reports of others. */
 function startInstance(clock: VirtualClock, store: MemoryStore, name: string) {
   const ended = new AbortController();
   let follower: StateFollower | undefined;
@@ -42,43 +41,46 @@
       });
       return follower;
     },
-    keepRefusedCall: (held) => void entries.keep(held),
+    keepRefusedCall: (call) => void entries.keep(call),
   });
   gateway.start(ended.signal);
   return { ended, quarantine: gateway.forwarder.quarantine };
 }
 
-function endServers(
+function recordCrashes(
   { quarantine }: ReturnType<typeof startInstance>,
   nowMs: number,
 ): void {
   ["s1", "s2", "s3"].forEach((server) =>
-    quarantine.recordEnd(BAD, toBackendId(server), nowMs)
+    quarantine.recordEnd(CRASHING_CONTENT, toBackendId(server), nowMs)
   );
 }
 
-/** Runs an instance until a call is refused there, and a second more. */
-async function runFirst(clock: VirtualClock, store: MemoryStore) {
+/** Runs an instance until it quarantines a call, and stops it a second later. */
+async function runUntilQuarantined(clock: VirtualClock, store: MemoryStore) {
   const first = startInstance(clock, store, "north-1");
   await clock.advance(500);
-  endServers(first, clock.nowMs());
+  recordCrashes(first, clock.nowMs());
   await clock.advance(1_000);
   first.ended.abort();
 }
 
-describe("a call that is refused", () => {
-  it("is refused by instances that start when no other is left", async () => {
+describe("a quarantined call", () => {
+  it("is refused by an instance that starts when no other is left", async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
-    await runFirst(clock, store);
+    await runUntilQuarantined(clock, store);
     const second = startInstance(clock, store, "north-2");
     await clock.advance(500);
-    const heldMs = second.quarantine.readHeldMs(BAD, clock.nowMs());
-    assert.ok(heldMs > 590_000 && heldMs < 600_000);
+    const remainingMs = second.quarantine.readHeldMs(
+      CRASHING_CONTENT,
+      clock.nowMs(),
+    );
+    assert.ok(remainingMs > 590_000 && remainingMs < 600_000);
     second.ended.abort();
   });
 
-  it("is kept once the store is back, and by one instance of those that saw it", async () => {
+  it("is stored once the store is reachable again, though several instances quarantined it", async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
     const instances = ["north-1", "north-22"].map((name) =>
@@ -86,21 +88,25 @@
     );
     await clock.advance(500);
     store.setDown(true);
-    instances.forEach((instance) => endServers(instance, clock.nowMs()));
+    instances.forEach((instance) => recordCrashes(instance, clock.nowMs()));
     await clock.advance(3_000);
     store.setDown(false);
     await clock.advance(6_000);
-    const kept = await store.read(toRefusedCallKey(BAD.fingerprint));
-    assert.ok(kept._unsafeUnwrap() !== undefined);
+    const stored = await store.read(
+      toRefusedCallKey(CRASHING_CONTENT.fingerprint),
+    );
+    assert.ok(stored._unsafeUnwrap() !== undefined);
     instances.forEach(({ ended }) => ended.abort());
   });
 
-  it("is in the store no longer than it is refused", async () => {
+  it("is in the store no longer than it is quarantined", async () => {
     const clock = new VirtualClock();
     const store = new MemoryStore(clock);
-    await runFirst(clock, store);
+    await runUntilQuarantined(clock, store);
     await clock.advance(600_000);
-    const kept = await store.read(toRefusedCallKey(BAD.fingerprint));
-    assert.equal(kept._unsafeUnwrap(), undefined);
+    const stored = await store.read(
+      toRefusedCallKey(CRASHING_CONTENT.fingerprint),
+    );
+    assert.equal(stored._unsafeUnwrap(), undefined);
   });
 });
