--- a/tests/engine_memory_test.ts
+++ b/tests/engine_memory_test.ts
@@ -14,7 +14,7 @@
 import { createReport } from "./report_fixture.ts";
 import { createVirtualGateway, LOADED_STATE } from "./virtual_gateway.ts";
 
-const PLAIN: HttpService = {
+const PLAIN_SERVICE: HttpService = {
   name: "app",
   maxConnections: 10,
   warmUpMs: 0,
@@ -24,8 +24,8 @@
 const TABLE = new RouteTable({
   version: 1,
   routes: [],
-  services: [PLAIN, {
-    ...PLAIN,
+  services: [PLAIN_SERVICE, {
+    ...PLAIN_SERVICE,
     name: "lm",
     engine: { maxSequences: 8, cacheTokens: 100_000 },
   }],
@@ -33,26 +33,26 @@
   teams: undefined,
 });
 
-function start(
-  held: readonly PromptPart[] | undefined,
-  saidStartMs?: number,
+function startGateway(
+  cachedParts: readonly PromptPart[] | undefined,
+  reportedStartMs?: number,
 ) {
   const clock = new VirtualClock();
-  const asked: string[] = [];
+  const requestedAddresses: string[] = [];
   const reports: FleetReport[] = [];
   let sinks: StateSinks | undefined;
   const gateway = createVirtualGateway("north-0", {
     clock,
-    createState: (given) => {
-      sinks = given;
+    createState: (gatewaySinks) => {
+      sinks = gatewaySinks;
       return LOADED_STATE;
     },
     readHeldParts: (address) => {
-      asked.push(address);
+      requestedAddresses.push(address);
       return Promise.resolve(
-        held === undefined
+        cachedParts === undefined
           ? err("busy")
-          : ok({ parts: held, startedMs: saidStartMs }),
+          : ok({ parts: cachedParts, startedMs: reportedStartMs }),
       );
     },
     sendReport: (report) => void reports.push(report),
@@ -77,22 +77,29 @@
   register("app-1", "app", "north");
   sinks!.applyTable(TABLE);
   sinks!.onServers();
-  return { asked, clock, gateway, register, reports, sinks: sinks! };
+  return {
+    requestedAddresses,
+    clock,
+    gateway,
+    register,
+    reports,
+    sinks: sinks!,
+  };
 }
 
-describe("the memory of engines after a start", () => {
-  it("is asked of the engines of the own region, once", async () => {
-    const { asked, register, sinks } = start([]);
+describe("the prefix caches of engines after an instance starts", () => {
+  it("are read from the engines of the own region, once", async () => {
+    const { requestedAddresses, register, sinks } = startGateway([]);
     sinks.onServers();
     register("lm-3", "lm", "north");
     sinks.onServers();
     await Promise.resolve();
-    // An engine that comes later is empty.
-    assert.deepEqual(asked, ["lm-1"]);
+    // An engine that is registered later has an empty cache.
+    assert.deepEqual(requestedAddresses, ["lm-1"]);
   });
 
-  it("is told to other regions, the newest sends first", async () => {
-    const { clock, gateway, reports } = start([
+  it("are reported to other regions, without parts that are too short", async () => {
+    const { clock, gateway, reports } = startGateway([
       { id: "5c1e", tokens: 13_000 },
       { id: "tiny", tokens: 9 },
     ]);
@@ -107,23 +114,26 @@
       "south-0",
     );
     await clock.advance(600);
-    const told = reports.filter(({ scope }) => scope === "region")
+    const reported = reports.filter(({ scope }) => scope === "region")
       .flatMap(({ prefixes }) => prefixes);
-    assert.deepEqual(told, [
+    assert.deepEqual(reported, [
       { server: toBackendId("lm-1"), part: "5c1e", tokens: 13_000 },
     ]);
   });
 
-  it("is not taken from an engine that has started again meanwhile", async () => {
-    const { clock, reports } = start([{ id: "5c1e", tokens: 13_000 }], 2_000);
+  it("are ignored if the engine has restarted in the meantime", async () => {
+    const { clock, reports } = startGateway(
+      [{ id: "5c1e", tokens: 13_000 }],
+      2_000,
+    );
     await clock.advance(600);
     assert.ok(reports.every(({ prefixes }) => prefixes.length === 0));
   });
 
-  it("is learned from what is sent where an engine does not tell it", async () => {
-    const { asked, clock, reports } = start(undefined);
+  it("are not reported if the engine cannot be read", async () => {
+    const { requestedAddresses, clock, reports } = startGateway(undefined);
     await clock.advance(600);
-    assert.deepEqual(asked, ["lm-1"]);
+    assert.deepEqual(requestedAddresses, ["lm-1"]);
     assert.ok(reports.every(({ prefixes }) => prefixes.length === 0));
   });
 });
--- a/tests/server_limit_test.ts
+++ b/tests/server_limit_test.ts
@@ -9,54 +9,57 @@
   type VirtualFleetParts,
 } from "./virtual_fleet.ts";
 
-/** What a server that names a limit bears in any span of 4 s, as users measure it. */
+/**
+ * In any window of 4 s a server may get its advertised limit times the overshoot, plus the
+ * slack, as users measure it.
+ */
 const WINDOW_MS = 4_000;
 const OVERSHOOT = 1.5;
 const SLACK_CALLS = 5;
-/** Time after which an instance heeds what a server says, in milliseconds. */
-const HEARD_AFTER_MS = 500;
-const LIMITED = "north-server-0";
-/** The limited server answers first, so that it is preferred. */
+/** Time after which an instance applies a limit that a server advertises, in milliseconds. */
+const APPLIED_AFTER_MS = 500;
+const LIMITED_SERVER = "north-server-0";
+/** The limited server answers faster, so that it is preferred. */
 const decide = ({ server }: Arrival): Deed => ({
   kind: "answer",
-  afterMs: server === LIMITED ? 20 : 40,
+  afterMs: server === LIMITED_SERVER ? 20 : 40,
 });
 
 const FLEETS: VirtualFleet[] = [];
 afterEach(() => FLEETS.splice(0).forEach((fleet) => fleet.stop()));
 
-interface Limited {
+interface LimitedFleet {
   readonly fleet: VirtualFleet;
-  /** Calls a second that the server names; `undefined`: none. */
+  /** Limit that the server advertises, in calls per second; `undefined` if it advertises none. */
   perSecond: number | undefined;
 }
 
-async function start(
+async function startFleet(
   parts: Partial<VirtualFleetParts>,
-): Promise<Limited> {
+): Promise<LimitedFleet> {
   const fleet = new VirtualFleet({
     regions: { north: { instances: 3, servers: 2 } },
     table: createRouteTable([createRoute("/a/")]),
     decide,
     answerHeaders: (server) =>
-      server === LIMITED && limited.perSecond !== undefined
+      server === LIMITED_SERVER && limited.perSecond !== undefined
         ? ["X-Call-Limit", String(limited.perSecond)]
         : [],
     ...parts,
   });
-  const limited: Limited = { fleet, perSecond: undefined };
+  const limited: LimitedFleet = { fleet, perSecond: undefined };
   FLEETS.push(fleet);
   await fleet.clock.advance(2_000);
   return limited;
 }
 
-/** Sends a call every 10 ms for a while, and returns how they ended. */
-async function play(
+/** Sends a call every 10 ms, and returns those that have ended by then with their answers. */
+async function sendCalls(
   fleet: VirtualFleet,
-  forMs: number,
+  durationMs: number,
 ): Promise<readonly EndedCall[]> {
   const ended: EndedCall[] = [];
-  for (let atMs = 0; atMs < forMs; atMs += 10) {
+  for (let atMs = 0; atMs < durationMs; atMs += 10) {
     void fleet.call(`call ${fleet.clock.nowMs()}`)
       .then((end) => ended.push(end));
     await fleet.clock.advance(10);
@@ -64,18 +67,20 @@
   return ended;
 }
 
-function listLimited(
+function listLimitedArrivals(
   { arrivals }: VirtualFleet,
   fromMs: number,
 ): readonly Arrival[] {
   return arrivals.filter(({ atMs, server }) =>
-    server === LIMITED && atMs >= fromMs
+    server === LIMITED_SERVER && atMs >= fromMs
   );
 }
 
-/** Returns the most calls that the server got in any span. */
-function countMost(fleet: VirtualFleet, fromMs: number): number {
-  const atMs = listLimited(fleet, fromMs).map((arrival) => arrival.atMs);
+/** Returns the maximum number of calls that the limited server got in any window. */
+function countMaxCalls(fleet: VirtualFleet, fromMs: number): number {
+  const atMs = listLimitedArrivals(fleet, fromMs).map((arrival) =>
+    arrival.atMs
+  );
   return Math.max(
     0,
     ...atMs.map((first) =>
@@ -92,84 +97,84 @@
   return ended.filter(({ status }) => status === 200).length;
 }
 
-describe("a server that names a limit of calls a second", () => {
-  it("gets no more from all instances together, and others serve the rest", async () => {
-    const limited = await start({});
+describe("a server that advertises a limit of calls per second", () => {
+  it("gets no more than its limit from all instances together, and others serve the rest", async () => {
+    const limited = await startFleet({});
     const { fleet } = limited;
     limited.perSecond = 2.6;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
-    const ended = await play(fleet, 12_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(2.6));
-    assert.ok(listLimited(fleet, fromMs).length >= 0.7 * 2.6 * 12);
+    const ended = await sendCalls(fleet, 12_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(2.6));
+    assert.ok(listLimitedArrivals(fleet, fromMs).length >= 0.7 * 2.6 * 12);
     assert.ok(countServed(ended) >= 0.99 * ended.length);
   });
 
-  it("gets no more where it takes fewer a second than there are instances", async () => {
-    const limited = await start({
+  it("gets no more than its limit when that is fewer calls per second than there are instances", async () => {
+    const limited = await startFleet({
       regions: { north: { instances: 12, servers: 2 } },
     });
     const { fleet } = limited;
     limited.perSecond = 0.8;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
-    await play(fleet, 12_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(0.8));
-    assert.ok(listLimited(fleet, fromMs).length >= 0.7 * 0.8 * 12);
+    await sendCalls(fleet, 12_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(0.8));
+    assert.ok(listLimitedArrivals(fleet, fromMs).length >= 0.7 * 0.8 * 12);
   });
 
-  it("gets less at once when its limit falls", async () => {
-    const limited = await start({});
+  it("gets fewer calls at once when its limit falls", async () => {
+    const limited = await startFleet({});
     const { fleet } = limited;
     limited.perSecond = 12;
-    await play(fleet, 6_000);
+    await sendCalls(fleet, 6_000);
     limited.perSecond = 1.2;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
-    await play(fleet, 8_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(1.2));
+    await sendCalls(fleet, 8_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(1.2));
   });
 
-  it("gets its part again once its answers name no limit", async () => {
-    const limited = await start({});
+  it("gets its share of calls again once its answers advertise no limit", async () => {
+    const limited = await startFleet({});
     const { fleet } = limited;
     limited.perSecond = 0.5;
-    await play(fleet, 6_000);
+    await sendCalls(fleet, 6_000);
     limited.perSecond = undefined;
-    await play(fleet, 4_000);
+    await sendCalls(fleet, 4_000);
     const fromMs = fleet.clock.nowMs();
-    await play(fleet, 2_000);
-    assert.ok(listLimited(fleet, fromMs).length >= 50);
+    await sendCalls(fleet, 2_000);
+    assert.ok(listLimitedArrivals(fleet, fromMs).length >= 50);
   });
 
-  it("gets no more as instances start again", async () => {
-    const limited = await start({});
+  it("gets no more than its limit while instances restart", async () => {
+    const limited = await startFleet({});
     const { fleet } = limited;
     limited.perSecond = 2.6;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
     for (const address of ["north-0", "north-1", "north-2", "north-0"]) {
-      await play(fleet, 2_000);
+      await sendCalls(fleet, 2_000);
       fleet.start(address);
     }
-    await play(fleet, 4_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(2.6));
+    await sendCalls(fleet, 4_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(2.6));
   });
 
-  it("gets no more while instances do not hear each other", async () => {
+  it("gets no more than its limit while instances receive no reports from each other", async () => {
     let isCut = false;
-    const limited = await start({ isCut: () => isCut });
+    const limited = await startFleet({ isCut: () => isCut });
     const { fleet } = limited;
     isCut = true;
     limited.perSecond = 2.6;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
-    await play(fleet, 12_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(2.6));
+    await sendCalls(fleet, 12_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(2.6));
   });
 
-  it("sends what is over it to another region", async () => {
-    const limited = await start({
+  it("has calls above its limit sent to another region", async () => {
+    const limited = await startFleet({
       regions: {
         north: { instances: 2, servers: 1 },
         south: { instances: 2, servers: 1 },
@@ -177,22 +182,22 @@
     });
     const { fleet } = limited;
     limited.perSecond = 2;
-    await play(fleet, HEARD_AFTER_MS);
+    await sendCalls(fleet, APPLIED_AFTER_MS);
     const fromMs = fleet.clock.nowMs();
-    const ended = await play(fleet, 8_000);
-    assert.ok(countMost(fleet, fromMs) <= countAllowed(2));
+    const ended = await sendCalls(fleet, 8_000);
+    assert.ok(countMaxCalls(fleet, fromMs) <= countAllowed(2));
     assert.ok(countServed(ended) >= 0.99 * ended.length);
   });
 
-  it("has what is over it refused at once where no other server is, with a time to come back", async () => {
-    const limited = await start({
+  it("has calls above its limit refused at once when there is no other server, with the time after which to retry", async () => {
+    const limited = await startFleet({
       regions: { north: { instances: 1, servers: 1 } },
     });
     const { fleet } = limited;
     limited.perSecond = 0.5;
-    await play(fleet, 3_000);
+    await sendCalls(fleet, 3_000);
     const sentMs = fleet.clock.nowMs();
-    const ends = await Promise.all([
+    const results = await Promise.all([
       ...["first", "second"].map((body) =>
         fleet.call(body).then((end) => ({
           ...end,
@@ -201,10 +206,12 @@
       ),
       fleet.clock.advance(1_000).then(() => undefined),
     ]);
-    const refused = ends.find((end) => end !== undefined && end.status !== 200);
+    const refused = results.find((end) =>
+      end !== undefined && end.status !== 200
+    );
     assert.equal(refused?.status, 503);
     assert.equal(refused?.tookMs, 0);
-    const at = refused!.headers.indexOf("Retry-After");
-    assert.ok(Number(refused!.headers[at + 1]) > 0.2);
+    const headerIndex = refused!.headers.indexOf("Retry-After");
+    assert.ok(Number(refused!.headers[headerIndex + 1]) > 0.2);
   });
 });
