--- a/tests/server_ending_call_test.ts
+++ b/tests/server_ending_call_test.ts
@@ -117,12 +117,12 @@
     const fleet = await startFleet();
     await sendCalls(fleet, { durationMs: 10_000, intervalMs: 150 });
     const sends = listCrashingSends(fleet);
-    const serversOf = (callId: string) =>
+    const listServersOf = (callId: string) =>
       new Set(
         sends.filter((send) => send.callId === callId)
           .map(({ server }) => server),
       );
-    sends.forEach(({ callId }) => assert.ok(serversOf(callId).size <= 2));
+    sends.forEach(({ callId }) => assert.ok(listServersOf(callId).size <= 2));
   });
 
   it("is quarantined by all instances though a tenth of the reports get lost", async () => {
--- a/tests/state_test.ts
+++ b/tests/state_test.ts
@@ -402,11 +402,11 @@
   it("keeps the first answer to an item when another one is written later", async () => {
     const { batches, submit } = createBatches();
     await submit();
-    const answer = (status: number) => ({
+    const createAnswers = (status: number) => ({
       0: { custom_id: "c1", status, body: null },
     });
-    await batches.writeAnswers("b1", 0, answer(200));
-    await batches.writeAnswers("b1", 0, answer(499));
+    await batches.writeAnswers("b1", 0, createAnswers(200));
+    await batches.writeAnswers("b1", 0, createAnswers(499));
     const all = (await batches.readAllAnswers("b1"))._unsafeUnwrap();
     assert.deepEqual(all.map(({ status }) => status), [200]);
   });
