--- a/tests/large_region_test.ts
+++ b/tests/large_region_test.ts
@@ -1,7 +1,4 @@
-// What callers saw on a fleet of 195 instances: a fifth of what the day was worth
-// went into messages between instances. The evidence: each told each other one of its
-// region seven times a second, 121.5 KB/s each at 65 in a region with no call in
-// flight, half of it between failure domains.
+// Guards against reports from each instance to every other one of its region seven times a second: without any call in flight they were 121.5 KB/s each at 65 instances a region, half of it between failure domains, and on 195 instances messages cost a fifth of the benchmark score.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import fc from "fast-check";
@@ -11,15 +8,16 @@
   type VirtualReporter,
 } from "./reporter_fixture.ts";
 
-/** Most bytes that an instance of a region of 65 sends a second. */
-const MOST_BYTES_EACH = 20_000;
+/** Maximum bytes a second that an instance of a region of 65 sends. */
+const MAX_BYTES_PER_SECOND = 20_000;
 /**
- * Oldest word of another instance's calls, in milliseconds: its round, the
- * aggregator's, the way of both, and one of the two lost.
+ * Maximum age of the call count of another instance, in milliseconds: a round of
+ * that instance, a round of the aggregator, the network delay of both reports, and
+ * the loss of one of the two.
  */
-const OLDEST_WORD_MS = 460;
+const MAX_COUNT_AGE_MS = 460;
 
-function assertAllCount(
+function assertCallCounts(
   running: readonly VirtualReporter[],
   calls: number,
 ): void {
@@ -27,7 +25,7 @@
   assert.deepEqual(counts, counts.map(() => calls));
 }
 
-describe("reports inside a region", () => {
+describe("reports within a region", () => {
   [2, 8, 9, 24, 65].forEach((perRegion) => {
     it(`count each call once at each of ${perRegion} instances`, async () => {
       const { clock, listRunning } = startReporters({ perRegion });
@@ -35,9 +33,9 @@
       listRunning().forEach(({ addCalls }, index) => addCalls(1 + index % 3));
       const calls = listRunning()
         .reduce((sum, _, index) => sum + 1 + index % 3, 0);
-      await clock.advance(OLDEST_WORD_MS);
-      assertAllCount(listRunning(), calls);
-      // What an instance does itself counts at once, and once.
+      await clock.advance(MAX_COUNT_AGE_MS);
+      assertCallCounts(listRunning(), calls);
+      // An instance counts its own calls immediately, and once.
       listRunning().forEach((one) => {
         const before = countCalls(one);
         one.addCalls(5);
@@ -46,10 +44,10 @@
         assert.equal(countCalls(one), before);
       });
       await clock.advance(1_000);
-      assertAllCount(listRunning(), calls);
+      assertCallCounts(listRunning(), calls);
     });
 
-    it(`let each of ${perRegion} instances know that all run`, async () => {
+    it(`let each of ${perRegion} instances know that all are live`, async () => {
       const { clock, listRunning } = startReporters({ perRegion });
       await clock.advance(3_000);
       for (let step = 0; step < 30; step++) {
@@ -62,40 +60,49 @@
     });
   });
 
-  it("grow with the region, not with its square", async () => {
+  it("grow linearly with the size of the region, not quadratically", async () => {
     const { clock, counted, listRunning } = startReporters({ perRegion: 65 });
     await clock.advance(3_000);
     Object.assign(counted, { datagrams: 0, bytes: 0, bytesBetweenDomains: 0 });
     await clock.advance(3_000);
-    const each = (total: number) => total / 3 / listRunning().length;
-    assert.ok(each(counted.bytes) < MOST_BYTES_EACH, `${each(counted.bytes)}`);
-    assert.ok(each(counted.datagrams) < 30, `${each(counted.datagrams)}`);
-    assert.ok(each(counted.bytesBetweenDomains) < MOST_BYTES_EACH / 8);
+    const toRatePerInstance = (total: number) =>
+      total / 3 / listRunning().length;
+    assert.ok(
+      toRatePerInstance(counted.bytes) < MAX_BYTES_PER_SECOND,
+      `${toRatePerInstance(counted.bytes)}`,
+    );
+    assert.ok(
+      toRatePerInstance(counted.datagrams) < 30,
+      `${toRatePerInstance(counted.datagrams)}`,
+    );
+    assert.ok(
+      toRatePerInstance(counted.bytesBetweenDomains) < MAX_BYTES_PER_SECOND / 8,
+    );
   });
 
-  describe("when an aggregator is lost", () => {
-    it("go on from the other one within two rounds", async () => {
+  describe("when an aggregator crashes", () => {
+    it("reach all instances through the other aggregator within two rounds", async () => {
       const { all, clock, listRunning } = startReporters({ perRegion: 24 });
       await clock.advance(3_000);
-      all.get("north-000:1")!.lose();
+      all.get("north-000:1")!.crash();
       listRunning().forEach(({ addCalls }) => addCalls(1));
       await clock.advance(2 * 450);
-      assertAllCount(listRunning(), 23);
+      assertCallCounts(listRunning(), 23);
     });
 
-    it("go on when the other one is lost as well", async () => {
+    it("reach all instances again when the other aggregator crashes as well", async () => {
       const { all, clock, listRunning } = startReporters({ perRegion: 24 });
       await clock.advance(3_000);
-      all.get("north-000:1")!.lose();
-      all.get("north-001:1")!.lose();
+      all.get("north-000:1")!.crash();
+      all.get("north-001:1")!.crash();
       listRunning().forEach(({ addCalls }) => addCalls(1));
       await clock.advance(2_500);
-      assertAllCount(listRunning(), 22);
+      assertCallCounts(listRunning(), 22);
     });
   });
 
-  describe("when an aggregator is cut off from the members of its domain", () => {
-    it("count what the others say themselves, and come back", async () => {
+  describe("when the reports of an aggregator are lost", () => {
+    it("leave out the calls of that aggregator only, and are complete once its reports arrive again", async () => {
       const { clock, listRunning, network } = startReporters({ perRegion: 12 });
       await clock.advance(3_000);
       network.passes = (from) => from !== "north-000:1";
@@ -105,18 +112,18 @@
       const others = listRunning().filter(({ address }) =>
         address !== "north-000:1"
       );
-      assertAllCount(others, 11);
+      assertCallCounts(others, 11);
       network.passes = () => true;
       await clock.advance(2_000);
-      assertAllCount(listRunning(), 12);
+      assertCallCounts(listRunning(), 12);
     });
   });
 
-  it("are right again 3 s after any losses, in regions of any size", async () => {
-    const losses = fc.record({
+  it("give exact counts 3 s after any crashes, in regions of any size", async () => {
+    const crashes = fc.record({
       perRegion: fc.integer({ min: 1, max: 60 }),
       domains: fc.integer({ min: 1, max: 4 }),
-      lost: fc.array(
+      crashed: fc.array(
         fc.record({
           index: fc.integer({ min: 0, max: 59 }),
           afterMs: fc.integer({ min: 0, max: 700 }),
@@ -125,20 +132,20 @@
       ),
     });
     await fc.assert(
-      fc.asyncProperty(losses, async ({ domains, lost, perRegion }) => {
+      fc.asyncProperty(crashes, async ({ domains, crashed, perRegion }) => {
         const { all, clock, listRunning } = startReporters({
           perRegion,
           domains,
         });
         await clock.advance(2_500);
         const addresses = [...all.keys()];
-        for (const { afterMs, index } of lost) {
+        for (const { afterMs, index } of crashed) {
           await clock.advance(afterMs);
-          all.get(addresses[index % perRegion]!)!.lose();
+          all.get(addresses[index % perRegion]!)!.crash();
         }
         listRunning().forEach(({ addCalls }) => addCalls(2));
         await clock.advance(3_000);
-        assertAllCount(listRunning(), 2 * listRunning().length);
+        assertCallCounts(listRunning(), 2 * listRunning().length);
       }),
       { numRuns: 25, seed: 11 },
     );
@@ -146,7 +153,7 @@
 });
 
 describe("reports between large regions", () => {
-  it("reach every instance, and cost a reporter no more than its own region", async () => {
+  it("reach every instance, and cost an instance fewer than 45 datagrams a second", async () => {
     const { clock, counted, listRunning } = startReporters({
       regions: ["north", "south", "west"],
       perRegion: 24,
@@ -154,7 +161,7 @@
     await clock.advance(6_000);
     listRunning().forEach(({ addCalls }) => addCalls(1));
     await clock.advance(2_000);
-    assertAllCount(listRunning(), 72);
+    assertCallCounts(listRunning(), 72);
     counted.datagrams = 0;
     await clock.advance(3_000);
     assert.ok(counted.datagrams / 3 / 72 < 45, `${counted.datagrams / 3 / 72}`);
--- a/tests/member_fixture.ts
+++ b/tests/member_fixture.ts
@@ -8,11 +8,10 @@
 import type { RegisteredServer } from "../servers/mod.ts";
 
 /**
- * Returns the record of an instance that takes calls, in the first failure domain
- * of its region.
+ * Returns the record of a ready instance in the first failure domain of its region.
  *
- * @param name Its id, and what stands before the port of its address.
- * @param region Where it runs. Default: `north`.
+ * @param name Its id, and the host part of its address.
+ * @param region Its region. Default: `north`.
  */
 export function createMember(name: string, region = "north"): MemberRecord {
   return {
@@ -26,10 +25,10 @@
 }
 
 /**
- * Returns the view of an instance that has heard of no other.
+ * Returns the fleet view of an instance that knows no other instance.
  *
- * @param self Who it is. Default: `self`, in region `north`.
- * @param loads What its reports feed. Default: a board of its own.
+ * @param self Record of the instance. Default: `self`, in region `north`.
+ * @param loads Tracker that is updated from received reports. Default: a new one.
  */
 export function createFleet(
   self: MemberRecord = createMember("self"),
@@ -39,15 +38,15 @@
 }
 
 /**
- * Returns the entry of a warm server of service `app`, in the first failure domain
- * of region `north`.
+ * Returns the registry entry of a warm server of service `app`, in the first
+ * failure domain of region `north`.
  *
- * @param name Its id, and what stands before the port of its address.
- * @param more What differs.
+ * @param name Its id, and the host part of its address.
+ * @param overrides Fields that differ from this.
  */
 export function createServerEntry(
   name: string,
-  more: Partial<RegisteredServer> = {},
+  overrides: Partial<RegisteredServer> = {},
 ): RegisteredServer {
   return {
     id: toBackendId(name),
@@ -61,6 +60,6 @@
     isDraining: false,
     coldForMs: 0,
     sequence: 0,
-    ...more,
+    ...overrides,
   };
 }
--- a/tests/report_fixture.ts
+++ b/tests/report_fixture.ts
@@ -1,16 +1,16 @@
 import type { FleetReport, MemberRecord } from "../fleet/mod.ts";
 
 /**
- * Returns a report of an instance that has nothing to tell.
+ * Returns a report without loads, prefixes or gossip.
  *
- * @param from Whose.
- * @param sequence Its number.
- * @param more What it tells all the same.
+ * @param from Record of the reporting instance.
+ * @param sequence Sequence number of the report.
+ * @param overrides Fields that differ from this.
  */
 export function createReport(
   from: MemberRecord,
   sequence: number,
-  more: Partial<FleetReport> = {},
+  overrides: Partial<FleetReport> = {},
 ): FleetReport {
   return {
     from,
@@ -25,6 +25,6 @@
     prefixes: [],
     news: [],
     wantsNews: false,
-    ...more,
+    ...overrides,
   };
 }
--- a/tests/reporter_fixture.ts
+++ b/tests/reporter_fixture.ts
@@ -12,42 +12,43 @@
 import { CallQuarantine } from "../quarantine/mod.ts";
 import { createMember } from "./member_fixture.ts";
 
-/** Time that a report is under way, in milliseconds. */
-const WAY_MS = 1;
+/** Network delay of a report, in milliseconds. */
+const DELAY_MS = 1;
 
-/** The backend server whose calls the instances count. */
+/** The backend server whose calls in flight the instances count. */
 export const COUNTED_SERVER = toBackendId("e1");
 
-/** An instance that tells others of its calls. */
+/** An instance that reports its calls in flight to others. */
 export interface VirtualReporter {
   readonly address: string;
   readonly fleet: FleetView;
   readonly loads: LoadBoard;
   readonly quarantine: CallQuarantine;
   readonly reporter: FleetReporter;
-  /** Begins calls, or with a negative number ends some. */
+  /** Begins calls, or completes calls if the number is negative. */
   readonly addCalls: (calls: number) => void;
-  /** Ends it: it neither sends nor receives any more. */
-  readonly lose: () => void;
-  readonly isLost: () => boolean;
+  /** Crashes the instance: it neither sends nor receives any more. */
+  readonly crash: () => void;
+  readonly hasCrashed: () => boolean;
 }
 
-/** What a fleet of reporters is created from. */
+/** Sizes of a fleet of reporters. */
 export interface StartReportersOptions {
   readonly regions?: readonly string[];
+  /** Instances of each region. */
   readonly perRegion: number;
   /** Failure domains of each region. Default: 2. */
   readonly domains?: number;
 }
 
-/** Starts instances at the same time whose reports travel in a millisecond. */
+/** Starts a fleet of instances that exchange reports over a network with a delay of one millisecond. */
 export function startReporters(
   { domains = 2, perRegion, regions = ["north"] }: StartReportersOptions,
 ) {
   const clock = new VirtualClock();
   const all = new Map<string, VirtualReporter>();
   const counted = { datagrams: 0, bytes: 0, bytesBetweenDomains: 0 };
-  /** Whether a report from one address is to get to another. Default: each is. */
+  /** Decides whether a report from one address reaches another. Default: always. */
   const network = { passes: (_from: string, _to: string) => true };
 
   const send = (
@@ -60,7 +61,7 @@
     const { length } = encode(report);
     to.forEach((address, at) => {
       const other = all.get(address);
-      if (from.isLost() || other === undefined) return;
+      if (from.hasCrashed() || other === undefined) return;
       counted.datagrams++;
       counted.bytes += length;
       const { failureDomain } = from.fleet.self;
@@ -68,8 +69,8 @@
         counted.bytesBetweenDomains += length;
       }
       if (!network.passes(from.address, address)) return;
-      clock.schedule(WAY_MS, () => {
-        if (other.isLost()) return;
+      clock.schedule(DELAY_MS, () => {
+        if (other.hasCrashed()) return;
         other.reporter.receive(
           { ...report, echo: echoes[at] ?? 0 },
           from.address,
@@ -94,7 +95,7 @@
       startMs: clock.nowMs(),
     });
     fleet.setState("ready");
-    const end = new AbortController();
+    const crashed = new AbortController();
     const quarantine = new CallQuarantine();
     const reporter = new FleetReporter({
       clock,
@@ -110,7 +111,7 @@
         instanceAddresses: [],
       },
       seedAddresses: regions.map((name) => `${name}-000:1`),
-      sendReport: (...words) => send(all.get(address)!, ...words),
+      sendReport: (...args) => send(all.get(address)!, ...args),
       takePrefixes: () => [],
       learnPrefixes: () => {},
       quarantine,
@@ -129,21 +130,22 @@
           pendingTokens: 100 * calls,
           memoryTokens: 1_000 * calls,
         }),
-      lose: () => end.abort("lost"),
-      isLost: () => end.signal.aborted,
+      crash: () => crashed.abort("crashed"),
+      hasCrashed: () => crashed.signal.aborted,
     });
-    // Instances are not in step: their rounds begin within the first 150 ms.
-    clock.schedule((index * 37) % 150, () => reporter.start(end.signal));
+    // Spreads the rounds of the instances over the first 150 ms.
+    clock.schedule((index * 37) % 150, () => reporter.start(crashed.signal));
   };
   regions.forEach((region) =>
     Array.from({ length: perRegion }, (_, index) => start(region, index))
   );
 
-  const listRunning = () => [...all.values()].filter((one) => !one.isLost());
+  const listRunning = () =>
+    [...all.values()].filter((one) => !one.hasCrashed());
   return { all, clock, counted, listRunning, network };
 }
 
-/** Returns how many calls an instance takes the counted server to have. */
+/** Returns how many calls an instance believes the counted server to have in flight. */
 export function countCalls({ loads }: VirtualReporter): number {
   return loads.readTotal(COUNTED_SERVER).calls;
 }
--- a/tests/virtual_fleet.ts
+++ b/tests/virtual_fleet.ts
@@ -17,24 +17,24 @@
 import { createHeadSink } from "./opaque_call_fixture.ts";
 import { createVirtualGateway } from "./virtual_gateway.ts";
 
-/** Time of a datagram or of a call's way, in milliseconds. */
-const WAY_MS = { near: 1, far: 55 } as const;
+/** One-way network delay within a region (`near`) and between regions (`far`), in milliseconds. */
+const DELAY_MS = { near: 1, far: 55 } as const;
 /** Host of all calls. */
 const HOST = "app.example";
 
-/** A send that has arrived at a server. */
+/** A request that reached a backend server. */
 export interface Arrival {
   readonly atMs: number;
   /** Id of the server. */
   readonly server: string;
-  /** Address of the instance that sent it. */
+  /** Address of the sending instance. */
   readonly from: string;
   readonly callId: string;
   readonly target: string;
   readonly body: string;
 }
 
-/** What a server does with a call. */
+/** How a backend server responds to a call. */
 export type Deed =
   | {
     readonly kind: "answer";
@@ -42,62 +42,62 @@
     /** Default: 200. */
     readonly status?: number;
   }
-  /** The call runs, and the server with all its calls ends. */
+  /** The server runs the call, then crashes together with all its calls. */
   | { readonly kind: "end"; readonly afterMs: number }
-  /** The server says at once that it does not run the call. */
+  /** The server refuses the call at once and states that it did not run it. */
   | { readonly kind: "reject"; readonly headers: readonly string[] };
 
-/** How a call of a caller ended. */
+/** Outcome of a call, as its caller saw it. */
 export interface EndedCall {
   readonly status: number;
   readonly headers: readonly string[];
 }
 
-/** Sizes and behaviour of a fleet. */
+/** Sizes of a fleet, and behaviour of its servers and network. */
 export interface VirtualFleetParts {
-  /** Instances and servers of each region. */
+  /** Number of instances and servers by region. */
   readonly regions: Readonly<
     Record<string, { readonly instances: number; readonly servers: number }>
   >;
   readonly table: RouteTable;
-  /** Decides what a server does with a call. */
+  /** Decides how a server responds to a call. */
   readonly decide: (arrival: Arrival) => Deed;
-  /** After how long a server that ended is replaced, in milliseconds. Default: never. */
+  /** Time after which a crashed server is replaced, in milliseconds. Default: never. */
   readonly replacedAfterMs?: number;
-  /** Headers of each answer beside its call's id. Default: none. */
+  /** Returns headers that a server adds to each answer besides the call's id. Default: none. */
   readonly answerHeaders?: (server: string) => readonly string[];
-  /** Share of the datagrams that get lost. Default: none. */
+  /** Share of datagrams that are lost. Default: 0. */
   readonly lostShare?: number;
-  /** Whether no datagram comes through at present. Default: never. */
+  /** Returns whether all datagrams are lost at present. Default: never. */
   readonly isCut?: () => boolean;
 }
 
 interface VirtualServer {
   readonly id: string;
   readonly region: string;
-  readonly running: Set<SendEvents>;
-  hasEnded: boolean;
+  readonly runningCalls: Set<SendEvents>;
+  hasCrashed: boolean;
 }
 
 /**
- * Real gateways that tell each other reports over a virtual network, and call
- * stand-ins of backend servers that may end while they have calls.
+ * Real gateways on a virtual network: they exchange reports, and send calls to
+ * simulated backend servers that may crash while they have calls.
  */
 export class VirtualFleet {
   readonly clock = new VirtualClock();
   readonly gateways = new Map<string, HttpGateway>();
-  /** All sends that reached a server, in order. */
+  /** All requests that reached a server, in order. */
   readonly arrivals: Arrival[] = [];
-  /** Bytes of reports that were sent. */
+  /** Bytes of all reports sent, also of those that were lost. */
   reportBytes = 0;
   readonly #parts: VirtualFleetParts;
   readonly #random = createRandom(11);
   readonly #servers = new Map<string, VirtualServer>();
-  readonly #ended = new AbortController();
-  #started = 0;
-  #calls = 0;
+  readonly #stopping = new AbortController();
+  #startedServerCount = 0;
+  #callCount = 0;
 
-  /** @param parts Sizes and behaviour. */
+  /** @param parts Sizes of the fleet, and behaviour of its servers and network. */
   constructor(parts: VirtualFleetParts) {
     this.#parts = parts;
     Object.entries(parts.regions).forEach(([region, { instances }]) =>
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Starts an instance, in the place of one that was there under its address. */
+  /** Starts an instance; it replaces the one at this address, if any. */
   start(address: string): HttpGateway {
     const names = Object.entries(this.#parts.regions)
       .flatMap(([region, { instances }]) =>
@@ -128,29 +128,29 @@
     });
     gateway.forwarder.setTable(this.#parts.table);
     this.gateways.set(address, gateway);
-    gateway.start(this.#ended.signal);
+    gateway.start(this.#stopping.signal);
     this.#servers.forEach((server) => this.#register(gateway, server));
     return gateway;
   }
 
-  /** Ends all instances. */
+  /** Stops all instances. */
   stop(): void {
-    this.#ended.abort("stopped");
+    this.#stopping.abort("stopped");
   }
 
   /**
-   * Makes a call at an instance.
+   * Sends a call to an instance and returns its outcome.
    *
-   * @param body What it says: a call with the same one is the same call.
-   * @param address Which. Default: any.
-   * @param target Path. Default: of the route `/a/`.
+   * @param body Content; calls with the same content have the same fingerprint.
+   * @param address Address of the instance. Default: a random one.
+   * @param target Path. Default: one of route `/a/`.
    */
   call(
     body: string,
     address = this.#pickAddress(),
     target = "/a/x",
   ): Promise<EndedCall> {
-    const callId = `c${this.#calls++}`;
+    const callId = `c${this.#callCount++}`;
     const headers = [
       "Host",
       HOST,
@@ -200,10 +200,10 @@
 
   #startServer(region: string): void {
     const server: VirtualServer = {
-      id: `${region}-server-${this.#started++}`,
+      id: `${region}-server-${this.#startedServerCount++}`,
       region,
-      running: new Set(),
-      hasEnded: false,
+      runningCalls: new Set(),
+      hasCrashed: false,
     };
     this.#servers.set(server.id, server);
     this.gateways.forEach((gateway) => this.#register(gateway, server));
@@ -221,12 +221,12 @@
     );
   }
 
-  #endServer(server: VirtualServer): void {
-    if (server.hasEnded) return;
-    server.hasEnded = true;
-    const lost = [...server.running];
-    server.running.clear();
-    lost.forEach((events) =>
+  #crashServer(server: VirtualServer): void {
+    if (server.hasCrashed) return;
+    server.hasCrashed = true;
+    const lostCalls = [...server.runningCalls];
+    server.runningCalls.clear();
+    lostCalls.forEach((events) =>
       events.onFailure({ kind: "closed", message: "other side closed" })
     );
     const { replacedAfterMs } = this.#parts;
@@ -250,7 +250,7 @@
     return {
       send: (request, events) => {
         const server = this.#servers.get(request.address);
-        if (server === undefined || server.hasEnded) {
+        if (server === undefined || server.hasCrashed) {
           queueMicrotask(() =>
             events.onFailure({ kind: "not-sent", message: "refused" })
           );
@@ -265,44 +265,46 @@
           body: request.body.toString(),
         };
         this.arrivals.push(arrival);
-        server.running.add(events);
-        const finish = (act: () => void) => () => {
-          if (server.running.has(events)) act();
+        server.runningCalls.add(events);
+        const ignoreIfEnded = (callback: () => void) => () => {
+          if (server.runningCalls.has(events)) callback();
         };
         const answer = (status: number, headers: readonly string[]) => {
-          server.running.delete(events);
-          const own = this.#parts.answerHeaders?.(server.id) ?? [];
+          server.runningCalls.delete(events);
+          const ownHeaders = this.#parts.answerHeaders?.(server.id) ?? [];
           events.onHead({
             status,
             statusText: "",
-            headers: ["X-Call-Id", arrival.callId, ...headers, ...own],
+            headers: ["X-Call-Id", arrival.callId, ...headers, ...ownHeaders],
           });
           events.onEnd([]);
         };
-        const deed = this.#parts.decide(arrival);
-        switch (deed.kind) {
+        const action = this.#parts.decide(arrival);
+        switch (action.kind) {
           case "answer":
             this.clock.schedule(
-              deed.afterMs,
-              finish(() => answer(deed.status ?? 200, [])),
+              action.afterMs,
+              ignoreIfEnded(() => answer(action.status ?? 200, [])),
             );
             break;
           case "end":
             this.clock.schedule(
-              deed.afterMs,
-              finish(() => this.#endServer(server)),
+              action.afterMs,
+              ignoreIfEnded(() => this.#crashServer(server)),
             );
             break;
           case "reject":
             this.clock.schedule(
-              WAY_MS.near,
-              finish(() => answer(503, ["X-Not-Run", "1", ...deed.headers])),
+              DELAY_MS.near,
+              ignoreIfEnded(() =>
+                answer(503, ["X-Not-Run", "1", ...action.headers])
+              ),
             );
             break;
         }
         return {
           resume: () => {},
-          abort: () => void server.running.delete(events),
+          abort: () => void server.runningCalls.delete(events),
         };
       },
     };
@@ -312,26 +314,26 @@
     return {
       send: (request, events) => {
         const hop = readHop(request.headers)!;
-        const left = new AbortController();
-        const wayMs = this.#readWayMs(from, request.address);
+        const abandoned = new AbortController();
+        const delayMs = this.#readDelayMs(from, request.address);
         const sink: CallSink = {
           ...createSink(() => {}),
-          signal: left.signal,
+          signal: abandoned.signal,
           begin: (head) => void events.onHead(head),
           end: (trailers) => events.onEnd(trailers),
           breakOff: () =>
             events.onFailure({ kind: "closed", message: "broken off" }),
         };
         this.clock.schedule(
-          wayMs,
+          delayMs,
           () =>
             this.#deliver(request.address, { kind: "instance", hop }, {
               request,
               sink,
             }),
-          left.signal,
+          abandoned.signal,
         );
-        return { resume: () => {}, abort: () => left.abort("given up") };
+        return { resume: () => {}, abort: () => abandoned.abort("given up") };
       },
     };
   }
@@ -344,7 +346,7 @@
         if (this.#random.nextFloat() < (this.#parts.lostShare ?? 0)) return;
         if (this.#parts.isCut?.()) return;
         this.clock.schedule(
-          this.#readWayMs(from, to),
+          this.#readDelayMs(from, to),
           () =>
             this.gateways.get(to)?.receiveReport(decodeReport(datagram)!, from),
         );
@@ -352,12 +354,14 @@
     };
   }
 
-  #readWayMs(from: string, to: string): number {
-    return from.split("-")[0] === to.split("-")[0] ? WAY_MS.near : WAY_MS.far;
+  #readDelayMs(from: string, to: string): number {
+    return from.split("-")[0] === to.split("-")[0]
+      ? DELAY_MS.near
+      : DELAY_MS.far;
   }
 }
 
-/** A head sink whose broken answers have status 0. */
+/** Returns a sink that passes on the head of an answer, with status 0 if the answer is broken off. */
 function createSink(begin: (head: AnswerHead) => void): CallSink {
   return {
     ...createHeadSink(begin),
--- a/tests/virtual_gateway.ts
+++ b/tests/virtual_gateway.ts
@@ -6,12 +6,12 @@
 import { NO_METRICS } from "../metrics/mod.ts";
 import type { StateSource } from "../state/mod.ts";
 
-/** Sends nothing. */
+/** A client that drops every request. */
 const NO_CLIENT: ServerClient = {
   send: () => ({ resume: () => {}, abort: () => {} }),
 };
 
-/** A source that knows a configuration and never changes by itself. */
+/** A state source with a loaded configuration that never changes. */
 export const LOADED_STATE: StateSource = {
   known: {
     configurationVersion: 1,
@@ -36,10 +36,10 @@
 };
 
 /**
- * Creates a gateway without sockets whose time stands still until advanced.
+ * Creates a gateway without sockets, on a virtual clock that only moves when it is advanced.
  *
- * @param address Its address and id; what stands before the dash is its region.
- * @param parts What differs from a gateway alone with nothing to send to.
+ * @param address Its address and id; the text before the dash is its region.
+ * @param parts Overrides of the defaults: a gateway without peers, whose clients drop every request.
  */
 export function createVirtualGateway(
   address: string,
