--- a/tests/far_regions_test.ts
+++ b/tests/far_regions_test.ts
@@ -7,9 +7,9 @@
 const FLEETS: VirtualFleet[] = [];
 afterEach(() => FLEETS.splice(0).forEach((fleet) => fleet.stop()));
 
-/** Plays calls to servers of north that answer after a time, and returns the regions that were looked at. */
-async function play(northAnswersAfterMs: number): Promise<{
-  readonly asked: ReadonlySet<RegionId>;
+/** Sends calls to `north`, whose servers answer after a time; returns the regions that were considered and those that served. */
+async function measureCalls(northAnswersAfterMs: number): Promise<{
+  readonly considered: ReadonlySet<RegionId>;
   readonly servedBy: ReadonlySet<string>;
 }> {
   const fleet = new VirtualFleet({
@@ -29,31 +29,31 @@
     void fleet.call(`call ${fleet.clock.nowMs()}`, "north-0");
     await fleet.clock.advance(100);
   };
-  // How long answers take is learned first.
+  // The first calls let the instance learn how long answers take.
   for (let count = 0; count < 40; count++) await call();
-  const asked = new Set<RegionId>();
+  const considered = new Set<RegionId>();
   const { registry } = fleet.gateways.get("north-0")!;
   const listUsable = registry.listUsable.bind(registry);
   registry.listUsable = (service, region) => {
-    asked.add(region);
+    considered.add(region);
     return listUsable(service, region);
   };
   const before = fleet.arrivals.length;
   for (let count = 0; count < 20; count++) await call();
   const servedBy = fleet.arrivals.slice(before)
     .map(({ server }) => server.split("-")[0]!);
-  return { asked, servedBy: new Set(servedBy) };
+  return { considered, servedBy: new Set(servedBy) };
 }
 
 describe("servers of another region", () => {
-  it("are not looked at where the way there takes longer than an answer of the own one", async () => {
-    const { asked, servedBy } = await play(30);
-    assert.deepEqual([...asked], ["north"]);
+  it("are not considered if the round trip takes longer than an answer from the local region", async () => {
+    const { considered, servedBy } = await measureCalls(30);
+    assert.deepEqual([...considered], ["north"]);
     assert.deepEqual([...servedBy], ["north"]);
   });
 
-  it("are looked at where the own one takes longer than the way", async () => {
-    const { asked } = await play(600);
-    assert.deepEqual([...asked], ["north", "south"]);
+  it("are considered if an answer from the local region takes longer than the round trip", async () => {
+    const { considered } = await measureCalls(600);
+    assert.deepEqual([...considered], ["north", "south"]);
   });
 });
--- a/tests/fleet_test.ts
+++ b/tests/fleet_test.ts
@@ -16,10 +16,10 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-const BOUND = "bound-token";
-const FREE = "free-token";
+const BOUND_TOKEN = "bound-token";
+const FREE_TOKEN = "free-token";
 
-/** A fleet of three regions; team `bound` may use r1 only. */
+/** Starts a fleet of three regions, in which team `bound` is bound to region r1. */
 async function createFleet(options: FakeFleetOptions = {}): Promise<FakeFleet> {
   const fleet = new FakeFleet(options);
   await fleet.clock.advance(3_000);
@@ -39,10 +39,10 @@
     { kind: "residency", name: "only-r1", spec: { regions: ["r1"] } },
     { kind: "service", name: "chat", spec: { model: "m" } },
     ...engines,
-    createTeam("free", FREE),
+    createTeam("free", FREE_TOKEN),
     {
-      ...createTeam("bound", BOUND),
-      spec: { ...createTeam("bound", BOUND).spec, residency: "only-r1" },
+      ...createTeam("bound", BOUND_TOKEN),
+      spec: { ...createTeam("bound", BOUND_TOKEN).spec, residency: "only-r1" },
     },
   ]);
   assert.equal(applied.kind === "whole" && applied.status, 200);
@@ -67,7 +67,7 @@
   } = {},
 ): Promise<Answer> {
   const reply = fleet.call(daemon, {
-    token: options.token ?? FREE,
+    token: options.token ?? FREE_TOKEN,
     path: "/v1/completions",
     headers: { "x-deadline-ms": "8000", ...options.headers },
     body: { model: "m", prompt: "q", stream: true, max_tokens: 8 },
@@ -102,7 +102,7 @@
   return fleet.daemons.find(({ record }) => record.id === id)!;
 }
 
-function readRuns(fleet: FakeFleet, region: string): number {
+function countRuns(fleet: FakeFleet, region: string): number {
   return [...fleet.backend.engines.values()].filter((engine) =>
     engine.region === region
   )
@@ -110,48 +110,48 @@
 }
 
 describe("residency", () => {
-  it("takes a bound request to its region, and never runs it elsewhere", async () => {
+  it("forwards a bound request to its region, and never runs it elsewhere", async () => {
     const fleet = await createFleet();
     const answer = await ask(fleet, findDaemon(fleet, "r2-i1"), {
-      token: BOUND,
+      token: BOUND_TOKEN,
     });
     assert.equal(answer.code, 0);
     assert.equal(answer.headers["x-forwarded-region"], "r1");
-    assert.equal(readRuns(fleet, "r1"), 1);
-    assert.equal(readRuns(fleet, "r2") + readRuns(fleet, "r3"), 0);
+    assert.equal(countRuns(fleet, "r1"), 1);
+    assert.equal(countRuns(fleet, "r2") + countRuns(fleet, "r3"), 0);
     fleet.stop();
   });
 
-  it("refuses a bound request as not run when its region cannot be reached", async () => {
+  it("refuses a bound request as not run when its region is unreachable", async () => {
     const fleet = await createFleet();
     fleet.cutOff("r1");
     const answer = await ask(fleet, findDaemon(fleet, "r2-i1"), {
-      token: BOUND,
+      token: BOUND_TOKEN,
     });
     assert.equal(answer.ran, "not-run");
-    assert.equal(readRuns(fleet, "r2") + readRuns(fleet, "r3"), 0);
+    assert.equal(countRuns(fleet, "r2") + countRuns(fleet, "r3"), 0);
     fleet.stop();
   });
 
-  it("is checked by the receiver, which may have a newer configuration", async () => {
+  it("is checked by the receiving instance too, which may have a newer configuration", async () => {
     const fleet = await createFleet();
     const entry = findDaemon(fleet, "r2-i1");
     fleet.cutOff("r2");
     await fleet.apply([
       { kind: "residency", name: "only-r1", spec: { regions: ["r3"] } },
     ], findDaemon(fleet, "r1-i1"));
-    // The entry still believes in r1, and reaches it before it hears the change.
+    // The first instance still has the old configuration, and forwards to r1 before it receives the change.
     fleet.backend.cutRegions = new Set();
-    const answer = await ask(fleet, entry, { token: BOUND });
+    const answer = await ask(fleet, entry, { token: BOUND_TOKEN });
     assert.equal(answer.ran, "not-run");
     assert.match(answer.text, /Region r1 may not serve/);
-    assert.equal(readRuns(fleet, "r1"), 0);
+    assert.equal(countRuns(fleet, "r1"), 0);
     fleet.stop();
   });
 });
 
 describe("forwarding", () => {
-  it("is done once: a receiver without engines refuses and does not pass it on", async () => {
+  it("is done once: a receiver refuses a forwarded call without a credit, and does not forward it again", async () => {
     const fleet = await createFleet();
     const entry = findDaemon(fleet, "r2-i1");
     const receiver = findDaemon(fleet, "r3-i1");
@@ -171,18 +171,18 @@
       },
       signal: new AbortController().signal,
     });
-    // It holds no credit of the receiver.
+    // The forwarding instance holds no credit of the receiver.
     const answer = await readAnswer(reply);
     assert.equal(answer.code, 1103);
     assert.equal(answer.ran, "not-run");
     assert.equal(
-      readRuns(fleet, "r1") + readRuns(fleet, "r2") + readRuns(fleet, "r3"),
+      countRuns(fleet, "r1") + countRuns(fleet, "r2") + countRuns(fleet, "r3"),
       0,
     );
     fleet.stop();
   });
 
-  it("takes no word of a caller that it is a peer", async () => {
+  it("ignores forwarding headers that a caller sends", async () => {
     const fleet = await createFleet();
     const answer = await ask(fleet, findDaemon(fleet, "r1-i1"), {
       headers: { "x-forwarded-from": "r2-i1", "x-forwarded-team": "bound" },
@@ -194,7 +194,7 @@
 });
 
 describe("a region that is cut off from the others and from the store", () => {
-  it("goes on serving its own callers, and has what was changed after it is back", async () => {
+  it("goes on serving its own callers, and receives the changes made meanwhile after it rejoins", async () => {
     const fleet = await createFleet();
     fleet.cutOff("r3");
     await fleet.clock.advance(20_000);
@@ -214,7 +214,7 @@
 });
 
 describe("a daemon that restarts while the store is down", () => {
-  it("becomes ready from its peers, and is not ready before", async () => {
+  it("is not ready until it has the state from its peers", async () => {
     const fleet = await createFleet();
     fleet.store.setDown(true);
     const daemon = findDaemon(fleet, "r2-i2");
@@ -230,13 +230,13 @@
 });
 
 describe("an engine", () => {
-  it("gets nothing new 2 s after it is marked as leaving, and what it has ends", async () => {
+  it("gets no new calls 2 s after it is marked as leaving, and completes those it has", async () => {
     const fleet = await createFleet();
     const url = "http://127.0.0.1:10001";
     const engine = fleet.backend.engines.get(url)!;
-    const before = engine.runs.length;
+    const runsBefore = engine.runs.length;
     const inFlight = fleet.call(findDaemon(fleet, "r1-i1"), {
-      token: FREE,
+      token: FREE_TOKEN,
       path: "/v1/completions",
       body: { model: "m", prompt: "long", stream: true, max_tokens: 300 },
     }).then(readAnswer);
@@ -253,35 +253,35 @@
         leaving: true,
       },
     }], findDaemon(fleet, "r3-i1"));
-    const atLeaving = engine.runs.length;
+    const runsAtLeaving = engine.runs.length;
     for (const daemon of fleet.daemons.slice(0, 3)) {
       await ask(fleet, daemon, { forMs: 2_000 });
     }
     await fleet.clock.advance(10_000);
     assert.equal((await inFlight).code, 0);
-    assert.equal(engine.runs.length, atLeaving);
-    assert.ok(atLeaving - before <= 1);
+    assert.equal(engine.runs.length, runsAtLeaving);
+    assert.ok(runsAtLeaving - runsBefore <= 1);
     fleet.stop();
   });
 
-  it("that takes a request and then breaks makes a non-idempotent call unknown", async () => {
+  it("that fails after it accepted a request makes the result of a non-idempotent call unknown", async () => {
     const fleet = await createFleet();
     fleet.backend.engines.forEach((engine) => (engine.failShare = 1));
     const headers = { "x-non-idempotent": "true", "idempotency-key": "k1" };
     const answer = await ask(fleet, findDaemon(fleet, "r1-i1"), { headers });
     assert.equal(answer.ran, "unknown");
-    assert.equal(readRuns(fleet, "r1"), 1);
+    assert.equal(countRuns(fleet, "r1"), 1);
     fleet.backend.engines.forEach((engine) => (engine.failShare = 0));
     const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
     assert.equal(again.code, 1303);
     assert.equal(
-      readRuns(fleet, "r1") + readRuns(fleet, "r2") + readRuns(fleet, "r3"),
+      countRuns(fleet, "r1") + countRuns(fleet, "r2") + countRuns(fleet, "r3"),
       1,
     );
     fleet.stop();
   });
 
-  it("that is down makes it not run, and the same key runs later", async () => {
+  it("that is down makes a non-idempotent call not run, and a retry with the same key runs later", async () => {
     const fleet = await createFleet();
     fleet.backend.engines.forEach((engine) => (engine.isDown = true));
     const headers = { "x-non-idempotent": "true", "idempotency-key": "k2" };
@@ -292,7 +292,7 @@
     const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
     assert.equal(again.code, 0);
     assert.equal(
-      readRuns(fleet, "r1") + readRuns(fleet, "r2") + readRuns(fleet, "r3"),
+      countRuns(fleet, "r1") + countRuns(fleet, "r2") + countRuns(fleet, "r3"),
       1,
     );
     fleet.stop();
@@ -302,11 +302,11 @@
 describe("a non-idempotent run", () => {
   const headers = { "x-non-idempotent": "true", "idempotency-key": "r1~once" };
 
-  it("happens once when it is asked for through every daemon at the same time", async () => {
+  it("happens once when it is requested from every daemon at the same time", async () => {
     const fleet = await createFleet();
     const answers = fleet.daemons.map((daemon) =>
       fleet.call(daemon, {
-        token: FREE,
+        token: FREE_TOKEN,
         path: "/v1/completions",
         headers,
         body: { model: "m", prompt: "q", stream: true, max_tokens: 8 },
@@ -319,37 +319,37 @@
       codes.filter((code) => code !== 0).every((code) => code === 1302),
       `${codes}`,
     );
-    const runs = readRuns(fleet, "r1") + readRuns(fleet, "r2") +
-      readRuns(fleet, "r3");
+    const runs = countRuns(fleet, "r1") + countRuns(fleet, "r2") +
+      countRuns(fleet, "r3");
     assert.equal(runs, 1);
     fleet.stop();
   });
 
-  it("happens at most once when its daemon dies at any time, and it is retried elsewhere", async () => {
-    for (let dieAfterMs = 0; dieAfterMs <= 60; dieAfterMs += 4) {
-      const fleet = await createFleet({ seed: dieAfterMs + 1 });
+  it("happens at most once when its daemon crashes at any time and the call is retried at another", async () => {
+    for (let crashAfterMs = 0; crashAfterMs <= 60; crashAfterMs += 4) {
+      const fleet = await createFleet({ seed: crashAfterMs + 1 });
       const entry = findDaemon(fleet, "r1-i1");
       void fleet.call(entry, {
-        token: FREE,
+        token: FREE_TOKEN,
         path: "/v1/completions",
         headers,
         body: { model: "m", prompt: "q", stream: true, max_tokens: 8 },
       }).then(readAnswer);
-      await fleet.clock.advance(dieAfterMs);
+      await fleet.clock.advance(crashAfterMs);
       fleet.kill(entry);
       fleet.network.silent.add(entry.record.id);
       const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
-      const runs = readRuns(fleet, "r1") + readRuns(fleet, "r2") +
-        readRuns(fleet, "r3");
+      const runs = countRuns(fleet, "r1") + countRuns(fleet, "r2") +
+        countRuns(fleet, "r3");
       assert.ok(
         runs <= 1,
-        `${runs} runs after a death at ${dieAfterMs} ms, code ${again.code}`,
+        `${runs} runs after a crash at ${crashAfterMs} ms, code ${again.code}`,
       );
       fleet.stop();
     }
   });
 
-  it("is refused as not run while the store is down, before and after it was up", async () => {
+  it("is refused as not run while the store is down, and runs once it is up again", async () => {
     const fleet = await createFleet();
     fleet.store.setDown(true);
     const refused = await ask(fleet, findDaemon(fleet, "r1-i1"), { headers });
@@ -367,42 +367,45 @@
 });
 
 describe("a store outage of 30 s under load", () => {
-  it("keeps the calls of all nine daemons below the budget throughout", async () => {
+  it("keeps the store calls of all nine daemons within the budget throughout", async () => {
     const fleet = await createFleet({ storeCallsPerSecond: 300 });
-    const perSecond: number[] = [];
-    let number = 0;
-    let backAfterSeconds = -1;
+    const storeCallsBySecond: number[] = [];
+    let callNumber = 0;
+    let recoverySeconds = -1;
     for (let second = 0; second < 55; second++) {
       if (second === 10) fleet.store.setDown(true);
       if (second === 40) fleet.store.setDown(false);
       const { reads, writes, watches } = fleet.store.counts;
       const codes: number[] = [];
       for (let step = 0; step < 20; step++) {
-        const daemon = fleet.daemons[number % 9]!;
+        const daemon = fleet.daemons[callNumber % 9]!;
         void fleet.call(daemon, {
-          token: FREE,
+          token: FREE_TOKEN,
           path: "/v1/completions",
           headers: {
             "x-non-idempotent": "true",
-            "idempotency-key": `load-${number++}`,
+            "idempotency-key": `load-${callNumber++}`,
           },
           body: { model: "m", prompt: "q", max_tokens: 1 },
         }).then(readAnswer).then(({ code }) => codes.push(code));
         await fleet.clock.advance(50);
       }
       const after = fleet.store.counts;
-      perSecond.push(
+      storeCallsBySecond.push(
         after.reads + after.writes + after.watches - reads - writes - watches,
       );
-      const isBack = second >= 40 && codes.length > 0 &&
+      const hasRecovered = second >= 40 && codes.length > 0 &&
         codes.every((code) => code === 0);
-      if (isBack && backAfterSeconds < 0) backAfterSeconds = second - 39;
+      if (hasRecovered && recoverySeconds < 0) recoverySeconds = second - 39;
     }
     fleet.stop();
-    assert.ok(Math.max(...perSecond) <= 300, `calls a second: ${perSecond}`);
     assert.ok(
-      backAfterSeconds > 0 && backAfterSeconds <= 8,
-      `back after ${backAfterSeconds} s`,
+      Math.max(...storeCallsBySecond) <= 300,
+      `calls a second: ${storeCallsBySecond}`,
+    );
+    assert.ok(
+      recoverySeconds > 0 && recoverySeconds <= 8,
+      `back after ${recoverySeconds} s`,
     );
   });
 });
--- a/tests/lingering_instance_test.ts
+++ b/tests/lingering_instance_test.ts
@@ -1,8 +1,4 @@
-// What callers saw: with all instances of a region restarted within seconds, the first
-// that left stayed for 7.7 s to end its long answers, and took no call of the 5 s
-// before: the region's callers had nobody, though the process ran and its servers had
-// room (2 of 3 calls between the seconds 8 and 10 refused, 154 of 235). Naming instances
-// of other regions in its place is no way out: calls bound to the region go nowhere else.
+// Guards against refusing all calls in the 5 s before the end of a graceful shutdown of 7.7 s, in which long answers complete, while the region has no other instance: its servers had capacity, but 154 of 235 calls in 2 s (seconds 8 to 10) were refused, and calls bound to the region can't go to another one.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { VirtualClock } from "../clock/mod.ts";
@@ -16,11 +12,11 @@
 
 const GRACE_MS = 8_000;
 const NORTH = toRegionId("north");
-/** Time after which an instance that leaves takes no more calls of every length, in milliseconds. */
-const LATER_MS = 3_000;
+/** Time after which an instance that shuts down no longer accepts calls of any duration, in milliseconds. */
+const AFTER_ACCEPTING_MS = 3_000;
 
-/** Lets an instance leave, alone in its region or beside another one. */
-async function startLeaving(hasNeighbour = false) {
+/** Begins the graceful shutdown of an instance that is alone in its region or beside another one. */
+async function startShutdown(hasNeighbour = false) {
   const clock = new VirtualClock();
   const sent: SendEvents[] = [];
   const client: ServerClient = {
@@ -35,7 +31,7 @@
     ...createRoute("/a/", ["north"]),
     timeoutMs: 60_000,
   }]));
-  let hasEnded = false;
+  let hasStopped = false;
   void gateway.handle(
     createOpaqueCall(clock.nowMs()),
     createHeadSink(() => {}),
@@ -45,8 +41,8 @@
     graceMs: GRACE_MS,
     countOpen: () => gateway.forwarder.inFlight,
     stopListening: () => {},
-  }).then(() => hasEnded = true);
-  await clock.advance(LATER_MS);
+  }).then(() => hasStopped = true);
+  await clock.advance(AFTER_ACCEPTING_MS);
   if (hasNeighbour) {
     const report = createReport(createMember("north-2"), 1);
     gateway.receiveReport(report, "north-2:1");
@@ -55,15 +51,15 @@
   return {
     clock,
     gateway,
-    hasEnded: () => hasEnded,
-    /** Ends the long answer that the instance waits for. */
-    endAnswer: async () => {
+    hasStopped: () => hasStopped,
+    /** Completes the long answer that the instance waits for. */
+    completeAnswer: async () => {
       const [first] = sent;
       first!.onHead({ status: 200, statusText: "OK", headers: [] });
       first!.onEnd([]);
       await clock.advance(100);
     },
-    /** Sends a call with so much time, and returns the head of its answer by then. */
+    /** Sends a call with this time to its deadline; returns its status and Retry-After, or `undefined` while it has no answer. */
     call: async (remainingMs: number) => {
       const heads: { status: number; headers: readonly string[] }[] = [];
       const call = createOpaqueCall(clock.nowMs());
@@ -78,54 +74,54 @@
       const [head] = heads;
       return head && { status: head.status, retryAfter: head.headers.at(-1) };
     },
-    pick: () =>
+    pickIds: () =>
       gateway.pickEntries(NORTH, ROUTE_HOST).entries.map(({ id }): string =>
         id
       ),
   };
 }
 
-describe("an instance that leaves and waits for a long answer", () => {
-  describe("while no other of its region takes calls", () => {
-    it("takes calls that end before it does", async () => {
-      const { call, pick } = await startLeaving();
-      // It is at a server: it was taken.
+describe("an instance that waits for a long answer during its graceful shutdown", () => {
+  describe("while no other instance of its region takes calls", () => {
+    it("takes calls that end before it stops", async () => {
+      const { call, pickIds } = await startShutdown();
+      // The call was taken, and waits for the answer of a server.
       assert.equal(await call(4_000), undefined);
-      assert.deepEqual(pick(), ["north-1"]);
+      assert.deepEqual(pickIds(), ["north-1"]);
     });
 
-    it("refuses a call that may outlast it at once", async () => {
-      const { call } = await startLeaving();
+    it("immediately refuses a call that may last longer than the instance", async () => {
+      const { call } = await startShutdown();
       const refused = await call(5_000);
       assert.equal(refused?.status, 503);
       assert.equal(Number(refused?.retryAfter), 0);
     });
 
-    it("takes no more once that answer has ended, and ends", async () => {
-      const { call, clock, endAnswer, hasEnded, pick } = await startLeaving();
-      await endAnswer();
+    it("takes no more calls once that answer is complete, and stops", async () => {
+      const { call, clock, completeAnswer, hasStopped, pickIds } =
+        await startShutdown();
+      await completeAnswer();
       assert.equal((await call(1_000))?.status, 503);
-      assert.deepEqual(pick(), []);
+      assert.deepEqual(pickIds(), []);
       await clock.advance(250);
-      assert.ok(hasEnded());
+      assert.ok(hasStopped());
     });
 
-    // A caller that still knew the instance sent its call 0.15 s before the process
-    // ended, in the moment at which the last answer had gone: it was never read.
-    it("answers whoever comes in its last moments", async () => {
-      const { call, clock, endAnswer, hasEnded } = await startLeaving();
-      await endAnswer();
+    // A call sent 0.15 s before the process ended, just after the last answer was complete, was never read.
+    it("answers a call that arrives between its last answer and the end of the process", async () => {
+      const { call, clock, completeAnswer, hasStopped } = await startShutdown();
+      await completeAnswer();
       await clock.advance(50);
-      assert.ok(!hasEnded());
+      assert.ok(!hasStopped());
       assert.equal((await call(1_000))?.status, 503);
     });
   });
 
-  it("takes no more calls beside another that is ready, and sends callers there at once", async () => {
-    const { call, pick } = await startLeaving(true);
+  it("takes no more calls beside another ready instance, and directs callers there immediately", async () => {
+    const { call, pickIds } = await startShutdown(true);
     const refused = await call(1_000);
     assert.equal(refused?.status, 503);
     assert.equal(Number(refused?.retryAfter), 0);
-    assert.deepEqual(pick(), ["north-2"]);
+    assert.deepEqual(pickIds(), ["north-2"]);
   });
 });
--- a/tests/region_hop_test.ts
+++ b/tests/region_hop_test.ts
@@ -22,7 +22,7 @@
 
 const FAR_HOST = toOwnLoopback(2);
 
-/** What the far instance says of itself. */
+/** Returns a report of the instance in the far region. */
 function createFarReport(peerPort: number, name = FAR_HOST): FleetReport {
   return createReport(
     {
@@ -38,8 +38,8 @@
   );
 }
 
-/** A gateway in the north whose only server is in the south, behind another gateway. */
-async function startTwo(
+/** Starts a gateway in the north, whose only servers are in the south behind another gateway. */
+async function startTwoRegions(
   answer: Parameters<typeof startRawServer>[0],
   route: {
     readonly kind?: "safe" | "unsafe" | "streaming";
@@ -47,7 +47,7 @@
     readonly timeoutMs?: number;
     readonly resumable?: boolean;
     readonly maxAttempts?: number;
-    /** Servers in the far region, all at one address. Default: 1. */
+    /** Number of servers in the far region, all at one address. Default: 1. */
     readonly serverCount?: number;
   } = {},
 ): Promise<
@@ -92,8 +92,8 @@
 }
 
 describe("a call whose servers are in another region", () => {
-  it("takes one hop, with what is left of its time, and comes back unchanged", async () => {
-    const { near, server } = await startTwo((_, socket) =>
+  it("takes one hop with its remaining time, and its answer is passed back unchanged", async () => {
+    const { near, server } = await startTwoRegions((_, socket) =>
       socket.write(createAnswer("c1", "from afar", ["X-Own: 1"]))
     );
     const answer = await ask(near.port);
@@ -108,8 +108,8 @@
     assert.ok(left > 0 && left <= 900);
   });
 
-  it("goes to the service that the first instance chose, whichever the other would", async () => {
-    const { far, near } = await startTwo((_, socket) =>
+  it("goes to the service that the first instance chose, even if the other one would choose differently", async () => {
+    const { far, near } = await startTwoRegions((_, socket) =>
       socket.write(createAnswer("c1", "as chosen"))
     );
     const kind = "unsafe" as const;
@@ -122,8 +122,8 @@
     assert.ok((await ask(near.port)).endsWith("as chosen"));
   });
 
-  it("is refused as not run where the server there did not run it", async () => {
-    const { near } = await startTwo((_, socket) =>
+  it("is refused as not run if the server there did not run it", async () => {
+    const { near } = await startTwoRegions((_, socket) =>
       socket.write(
         "HTTP/1.1 503 Full\r\nX-Havenspur-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
       )
@@ -131,18 +131,18 @@
     assert.match(await ask(near.port), /^HTTP\/1\.1 503 /);
   });
 
-  it("is a 502, never a 503, where the server there broke off", async () => {
-    const { near } = await startTwo((_, socket) => socket.destroy());
+  it("is answered with 502, never 503, if the server there closes the connection", async () => {
+    const { near } = await startTwoRegions((_, socket) => socket.destroy());
     assert.match(await ask(near.port), /^HTTP\/1\.1 502 /);
   });
 
-  it("is a 502 where the other instance breaks off", async () => {
-    const { near, far } = await startTwo(() => far.close());
+  it("is answered with 502 if the other instance closes the connection", async () => {
+    const { near, far } = await startTwoRegions(() => far.close());
     assert.match(await ask(near.port), /^HTTP\/1\.1 502 /);
   });
 
-  it("ends visibly broken where the server there breaks off half-way", async () => {
-    const { near } = await startTwo((_, socket) => {
+  it("has a visibly incomplete answer if the server there closes the connection midway", async () => {
+    const { near } = await startTwoRegions((_, socket) => {
       socket.write(
         createAnswer("c1", "0123456789").slice(0, -4),
         () => setTimeout(() => socket.destroy(), 20),
@@ -153,11 +153,11 @@
     assert.match(answer, /^HTTP\/1\.1 (200|502)/);
   });
 
-  it("is given up at the server when the caller leaves", async () => {
-    let wasClosed = () => {};
-    const closed = new Promise<void>((resolve) => (wasClosed = resolve));
-    const { near } = await startTwo((_, socket) => {
-      socket.on("close", wasClosed);
+  it("is aborted at the server when the caller disconnects", async () => {
+    let resolveClosed = () => {};
+    const closed = new Promise<void>((resolve) => (resolveClosed = resolve));
+    const { near } = await startTwoRegions((_, socket) => {
+      socket.on("close", resolveClosed);
       caller.socket.destroy();
     });
     const caller = await openRawCaller(near.port);
@@ -165,8 +165,8 @@
     await closed;
   });
 
-  it("goes nowhere that is not its home", async () => {
-    const { near, server } = await startTwo(
+  it("is not sent to a region that is none of its homes", async () => {
+    const { near, server } = await startTwoRegions(
       (_, socket) => socket.write(createAnswer("c1", "x")),
       { homeRegions: ["north"] },
     );
@@ -174,14 +174,14 @@
     assert.equal(server.requests.length, 0);
   });
 
-  it("is refused as not run by an instance that cannot be reached", async () => {
-    const { near, far, server } = await startTwo(() => {});
+  it("is refused as not run if the other instance is unreachable", async () => {
+    const { near, far, server } = await startTwoRegions(() => {});
     far.close();
     assert.match(await ask(near.port), /^HTTP\/1\.1 503 /);
     assert.equal(server.requests.length, 0);
   });
 
-  it("that is a broken stream goes on after the last event that the caller has", async () => {
+  it("resumes a broken stream after the last event that the caller received", async () => {
     const head = [
       "HTTP/1.1 200 OK",
       "X-Havenspur-Attempt-Id: c1",
@@ -192,7 +192,7 @@
     ].join("\r\n");
     const toChunk = (text: string) =>
       `${text.length.toString(16)}\r\n${text}\r\n`;
-    const { far, near, server } = await startTwo((request, socket) => {
+    const { far, near, server } = await startTwoRegions((request, socket) => {
       const after = Number(findHeader(request, "last-event-id") ?? 0);
       const event = toChunk(`id: ${after + 1}\ndata: t${after + 1}\n\n`);
       if (after > 0) socket.write(`${head}${event}0\r\n\r\n`);
@@ -208,7 +208,7 @@
       maxAttempts: 2,
       serverCount: 2,
     });
-    // A second instance of the far region takes the call over.
+    // A second instance of the far region resumes the call.
     near.gateway.receiveReport(
       createFarReport(far.peerPort, "other"),
       FAR_HOST,
@@ -224,7 +224,7 @@
   });
 
   it("takes no second hop", async () => {
-    const { far, server } = await startTwo(() => {}, {
+    const { far, server } = await startTwoRegions(() => {}, {
       homeRegions: ["north"],
     });
     const caller = await openRawCaller(far.peerPort, FAR_HOST);
--- a/tests/region_reports_test.ts
+++ b/tests/region_reports_test.ts
@@ -8,16 +8,16 @@
 
 const REGIONS = ["north", "south", "west"] as const;
 
-interface Sent {
+interface SentReport {
   readonly from: string;
   readonly to: string;
   readonly report: FleetReport;
 }
 
-/** Instances of three regions whose reports travel at once. */
+/** Starts instances in three regions that receive reports without delay. */
 function startFleet(perRegion: number) {
   const clock = new VirtualClock();
-  const sent: Sent[] = [];
+  const sent: SentReport[] = [];
   const gateways = new Map<string, HttpGateway>();
   const ends = new Map<string, AbortController>();
   const addresses = REGIONS.flatMap((region) =>
@@ -42,47 +42,50 @@
   gateways.forEach((gateway, address) =>
     gateway.start(ends.get(address)!.signal)
   );
-  const countFar = () =>
+  const countBetweenRegions = () =>
     sent.filter(({ from, to }) => from.split("-")[0] !== to.split("-")[0])
       .length;
-  return { clock, sent, gateways, ends, countFar };
+  return { clock, sent, gateways, ends, countBetweenRegions };
 }
 
 describe("reports between regions", () => {
-  it("reach every instance, though few are sent to", async () => {
-    const { clock, countFar, gateways, sent } = startFleet(5);
+  it("reach every instance with at most 60 datagrams a second between regions", async () => {
+    const { clock, countBetweenRegions, gateways, sent } = startFleet(5);
     await clock.advance(5_000);
     sent.length = 0;
     await clock.advance(6_000);
     gateways.forEach((gateway) =>
       assert.equal(gateway.fleet.countAll(clock.nowMs()), 15)
     );
-    // Ten others a region would take 20 a second each way from two reporters.
-    const perSecond = countFar() / 6;
+    // For ten instances in other regions, two representatives would take 20 datagrams a second each way.
+    const perSecond = countBetweenRegions() / 6;
     assert.ok(perSecond <= 60, `${perSecond} datagrams a second`);
   });
 
-  it("go on when the first instances of all regions are lost", async () => {
+  it("continue when the first instances of all regions crash", async () => {
     const { clock, ends, gateways } = startFleet(4);
     await clock.advance(5_000);
-    REGIONS.forEach((region) => ends.get(`${region}-0`)?.abort("lost"));
-    let fewest = Number.POSITIVE_INFINITY;
-    // Who is alive stays known all the while; who is lost is forgotten.
+    REGIONS.forEach((region) => ends.get(`${region}-0`)?.abort("crashed"));
+    let minLiveCount = Number.POSITIVE_INFINITY;
+    // Live instances stay known all the time, and crashed ones are removed.
     for (let step = 0; step < 60; step++) {
       await clock.advance(100);
       gateways.forEach((gateway, address) => {
         if (ends.get(address)?.signal.aborted) return;
-        fewest = Math.min(fewest, gateway.fleet.countAll(clock.nowMs()));
+        minLiveCount = Math.min(
+          minLiveCount,
+          gateway.fleet.countAll(clock.nowMs()),
+        );
       });
     }
-    assert.equal(fewest, 9);
+    assert.equal(minLiveCount, 9);
     gateways.forEach((gateway, address) => {
       if (ends.get(address)?.signal.aborted) return;
       assert.equal(gateway.fleet.countAll(clock.nowMs()), 9);
     });
   });
 
-  it("are passed on once, also where two instances take themselves for the first", async () => {
+  it("are passed on once, even if two instances consider themselves representatives and both send them", async () => {
     const { clock, gateways, sent } = startFleet(3);
     await clock.advance(5_000);
     sent.length = 0;
