--- a/tests/busy_instance_test.ts
+++ b/tests/busy_instance_test.ts
@@ -1,11 +1,7 @@
-// What callers saw: an instance whose event loop was over a second behind gave a
-// call 400 ms from the moment at which it read it, so that the caller, who had
-// waited 1.25 s by then, got its 504 after 1.66 s; of the calls that reached their
-// route's timeout, 49 of 72 had no answer half a second later. The evidence: its log
-// said `timed-out` with `afterMs=403`, and the server was passed the whole 400 ms.
+// Guards against timing calls from when they are read: with the event loop over 1 s behind, a caller that had waited 1.25 s got the 504 of its 400 ms timeout after 1.66 s (logged as `timed-out` with `afterMs=403`, and the server was passed all 400 ms); 49 of 72 such calls had no answer half a second after their timeout.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { blockLoop, leaveUnaccepted } from "./busy_loop.ts";
+import { blockEventLoop, leaveUnaccepted } from "./busy_loop.ts";
 import {
   createAnswer,
   createRequest,
@@ -15,22 +11,22 @@
 import { findHeader, openRawCaller, startRawServer } from "./raw_http.ts";
 
 const TIMEOUT_MS = 400;
-/** Response-time objective; silence of half of it sends a call elsewhere. */
+/** Response-time objective, in milliseconds; a call is retried elsewhere after half of it without an answer. */
 const TARGET_MS = 400;
-/** Pause in which the gauge of the loop has begun to run, in milliseconds. */
-const WARM_UP_MS = 150;
+/** Time after which the event loop delay is being measured, in milliseconds. */
+const MEASURING_FROM_MS = 150;
 
-/** Sends a call to an instance that does not get to read it for a while. */
-async function callBehind(blockedMs: number) {
+/** Sends a call to an instance whose event loop is blocked before it reads the call. */
+async function sendUnreadCall(blockedMs: number) {
   const server = await startRawServer(() => {});
   const fixture = await startGateway({
     routes: [{ prefix: "/slow/", timeoutMs: TIMEOUT_MS }],
     servers: { s1: server.address },
   });
   const caller = await openRawCaller(fixture.port, fixture.host);
-  await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
+  await new Promise((resolve) => setTimeout(resolve, MEASURING_FROM_MS));
   caller.socket.write(createRequest("/slow/"));
-  blockLoop(blockedMs);
+  blockEventLoop(blockedMs);
   const answer = await caller.awaitText("\r\n\r\n");
   fixture.close();
   server.close();
@@ -38,15 +34,15 @@
   return { answer, requests: server.requests };
 }
 
-/** Sends a call whose answer arrives at once, and is not read for a while. */
-async function answerBehind(route: Partial<RouteFixture>) {
+/** Sends a call whose answer arrives immediately, while the event loop is blocked. */
+async function sendUnreadAnswer(route: Partial<RouteFixture>) {
   const requests: string[] = [];
   const startServer = () =>
     startRawServer((request, socket) => {
       requests.push(request);
       const callId = findHeader(request, "X-Havenspur-Attempt-Id")!;
       socket.write(createAnswer(callId, "whole"));
-      blockLoop(2 * TARGET_MS);
+      blockEventLoop(2 * TARGET_MS);
     });
   const servers = await Promise.all([startServer(), startServer()]);
   const [s1, s2] = servers.map(({ address }) => address);
@@ -63,11 +59,10 @@
   return { answer, requests };
 }
 
-describe("an answer that waits unread at a busy instance", () => {
-  // An answer that had arrived was taken for silence, because timers run before what
-  // waits is read: the call was sent a second time, to an instance at its limit.
-  it("is passed on, and not asked for once more", async () => {
-    const { answer, requests } = await answerBehind({
+describe("an answer that waits unread while the event loop is blocked", () => {
+  // Timers run before sockets are read, so that a call whose answer had arrived was sent again, at an instance at its limit.
+  it("is passed on, and its call is not retried", async () => {
+    const { answer, requests } = await sendUnreadAnswer({
       targetMs: TARGET_MS,
       maxAttempts: 2,
     });
@@ -75,24 +70,23 @@
     assert.equal(requests.length, 1);
   });
 
-  it("is passed on, though its call's time has gone by meanwhile", async () => {
-    const { answer } = await answerBehind({ timeoutMs: TIMEOUT_MS });
+  it("is passed on, even if the timeout of its call has passed", async () => {
+    const { answer } = await sendUnreadAnswer({ timeoutMs: TIMEOUT_MS });
     assert.match(answer, /^HTTP\/1\.1 200 /);
   });
 });
 
-describe("a call that waits unread at a busy instance", () => {
-  describe("when its route's timeout goes by", () => {
+describe("a call that waits unread while the event loop is blocked", () => {
+  describe("when its route's timeout passes", () => {
     it("is refused as not run, and not sent", async () => {
-      const { answer, requests } = await callBehind(TIMEOUT_MS + 400);
+      const { answer, requests } = await sendUnreadCall(TIMEOUT_MS + 400);
       assert.match(answer, /^HTTP\/1\.1 503 /);
       assert.deepEqual(requests, []);
     });
   });
 
-  describe("when its caller has gone before its connection was accepted", () => {
-    // An instance at its limit served such calls for seconds: 250 connections in
-    // half a second, two calls in flight, all of its processor time used.
+  describe("when its caller disconnected before its connection was accepted", () => {
+    // An instance at its limit served such calls for seconds: 250 connections in half a second, two calls in flight, all processor time used.
     it("is not sent", async () => {
       const server = await startRawServer(() => {});
       const fixture = await startGateway({
@@ -104,7 +98,7 @@
         fixture.host,
         createRequest("/slow/"),
       );
-      await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
+      await new Promise((resolve) => setTimeout(resolve, MEASURING_FROM_MS));
       fixture.close();
       server.close();
       assert.deepEqual(server.requests, []);
@@ -112,8 +106,8 @@
   });
 
   describe("when it is read in time", () => {
-    it("has what is left of the timeout", async () => {
-      const { answer, requests } = await callBehind(TIMEOUT_MS / 2);
+    it("is sent with what is left of the timeout", async () => {
+      const { answer, requests } = await sendUnreadCall(TIMEOUT_MS / 2);
       assert.match(answer, /^HTTP\/1\.1 504 /);
       const passedMs = Number(
         findHeader(requests[0]!, "X-Havenspur-Deadline-Remaining"),
--- a/tests/busy_loop.ts
+++ b/tests/busy_loop.ts
@@ -1,22 +1,22 @@
 import { once } from "node:events";
 import { connect } from "node:net";
 
-/** Time for which the loop is kept from accepting a caller that leaves, in milliseconds. */
-const ACCEPTED_LATE_MS = 50;
+/** Time for which the event loop is blocked once a caller has disconnected, before its connection is accepted, in milliseconds. */
+const ACCEPT_DELAY_MS = 50;
 
-/** Keeps the event loop from running for a time, as work of other calls does. */
-export function blockLoop(forMs: number): void {
+/** Blocks the event loop for a time in milliseconds, as work for other calls does. */
+export function blockEventLoop(forMs: number): void {
   const untilMs = performance.now() + forMs;
   while (performance.now() < untilMs);
 }
 
 /**
- * Sends a request to a listener of this process, and leaves before the listener
- * gets to accept the connection.
+ * Sends a request to a listener of this process, and disconnects before the listener
+ * accepts the connection.
  *
- * @param port Where it listens.
- * @param host The same.
- * @param request All bytes of it.
+ * @param port Port of the listener.
+ * @param host Address of the listener.
+ * @param request The whole request, as it is sent.
  */
 export async function leaveUnaccepted(
   port: number,
@@ -28,7 +28,7 @@
   caller.once("connect", () => {
     setImmediate(() => {
       caller.destroy();
-      blockLoop(ACCEPTED_LATE_MS);
+      blockEventLoop(ACCEPT_DELAY_MS);
     });
   });
   await once(caller, "close");
--- a/tests/cluster_test.ts
+++ b/tests/cluster_test.ts
@@ -69,7 +69,7 @@
   const readStatus = (view: Membership) => view.members[0]!.status;
   const local = { configuration: 0, services: [] };
 
-  it("does not bring a dead instance back by an old message", () => {
+  it("does not revive a dead instance on a heartbeat of the same incarnation", () => {
     const view = createView();
     view.applyHeartbeat(createHeartbeat("peer", { sequence: 9 }), 10);
     for (let nowMs = 400; nowMs <= 4_000; nowMs += 400) {
@@ -81,13 +81,13 @@
       4_100,
     );
     assert.equal(readStatus(view), "dead");
-    // It is told, so that it can come back with a higher incarnation.
+    // The answer reports its death, so that it returns with a higher incarnation.
     assert.equal(answers[0]!.heartbeat.rumours[0]!.status, "dead");
     view.applyHeartbeat(createHeartbeat("peer", { incarnation: 101 }), 4_200);
     assert.equal(readStatus(view), "live");
   });
 
-  it("refutes a rumour of its own death", () => {
+  it("refutes gossip of its own death with a higher incarnation", () => {
     const view = createView();
     const rumours = [{
       id: toInstanceId("self"),
@@ -102,15 +102,15 @@
     assert.equal(answers[0]!.heartbeat.incarnation, 101);
   });
 
-  it("takes no work to one that is leaving", () => {
+  it("does not list an instance that is leaving as live", () => {
     const view = createView();
     view.applyHeartbeat(createHeartbeat("peer", { isLeaving: true }), 10);
     assert.deepEqual(view.liveIds, ["self"]);
   });
 });
 
-describe("heartbeats on the wire", () => {
-  it("come back as they were, and not with a wrong key or changed bytes", () => {
+describe("an encoded heartbeat", () => {
+  it("decodes to the same heartbeat, and to none with a wrong key or changed bytes", () => {
     const heartbeat = createHeartbeat("peer", {
       rumours: [{ id: toInstanceId("x"), incarnation: 3, status: "suspect" }],
       digests: [{
@@ -143,8 +143,8 @@
         },
       ),
     );
-    fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), (noise) => {
-      assert.equal(decodeHeartbeat(noise, KEY), undefined);
+    fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), (randomBytes) => {
+      assert.equal(decodeHeartbeat(randomBytes, KEY), undefined);
     }));
   });
 });
@@ -168,7 +168,7 @@
     };
   }
 
-  it("is the same whatever order entries come in, and never goes back", () => {
+  it("is the same in whatever order entries arrive, and its sequence never decreases", () => {
     const all = Array.from(
       { length: 12 },
       (_, index) => createEntry(index + 1),
@@ -187,7 +187,7 @@
     }));
   });
 
-  it("gives a peer the entries it lacks, or a snapshot when it is far behind", () => {
+  it("gives a peer the entries it lacks, or a snapshot if it is far behind", () => {
     const state = new ConfigurationState();
     Array.from(
       { length: 600 },
@@ -196,14 +196,14 @@
     assert.equal(state.readAfter(590).kind, "entries");
     const answer = state.readAfter(10);
     assert.ok(answer.kind === "snapshot");
-    const late = new ConfigurationState();
-    assert.equal(late.applySnapshot(answer.snapshot), true);
-    assert.equal(late.sequence, 600);
+    const stale = new ConfigurationState();
+    assert.equal(stale.applySnapshot(answer.snapshot), true);
+    assert.equal(stale.sequence, 600);
     assert.equal(state.applySnapshot({ sequence: 3, resources: [] }), false);
     assert.equal(state.sequence, 600);
   });
 
-  it("appends once after a lost answer, and yields its place to another change", async () => {
+  it("appends a change once after a lost answer, and reports its sequence number as taken to another change", async () => {
     const store = new MemoryStore(new VirtualClock());
     store.faults.loseAnswers = 1;
     assert.equal(
@@ -217,22 +217,22 @@
     assert.equal(state.sequence, 1);
   });
 
-  it("stays in force when the store is restored to an older state, which is mended", async () => {
+  it("stays in force when the store is restored to an older state, and is written to the store again", async () => {
     const fleet = new FakeFleet();
     await fleet.clock.advance(3_000);
-    const model = (name: string) => ({ kind: "model", name, spec: {} });
-    await fleet.apply([model("m1")]);
+    const createModel = (name: string) => ({ kind: "model", name, spec: {} });
+    await fleet.apply([createModel("m1")]);
     const old = fleet.store.snapshot();
-    await fleet.apply([model("m2")]);
-    await fleet.apply([model("m3")]);
+    await fleet.apply([createModel("m2")]);
+    await fleet.apply([createModel("m3")]);
     fleet.store.restore(old);
-    await fleet.apply([model("m4")], fleet.daemons[4]);
+    await fleet.apply([createModel("m4")], fleet.daemons[4]);
     await fleet.clock.advance(70_000);
     fleet.daemons.forEach(({ gateway }) => {
       assert.equal(gateway.configuration.sequence, 4);
       assert.equal(gateway.configuration.catalog.resources.size, 4);
     });
-    // A daemon that starts with the store alone finds everything there again.
+    // A daemon that starts without peers reads all of it from the store.
     fleet.stop();
     fleet.store.faults.latencyMs = 0;
     const state = new ConfigurationState();
@@ -241,12 +241,12 @@
   });
 });
 
-describe("documents", () => {
-  const read = (name: string) =>
+describe("the documentation", () => {
+  const readDocument = (name: string) =>
     readFileSync(new URL(`../../docs/${name}`, import.meta.url), "utf8");
 
-  it("hold the table of result codes as it is in the code", () => {
-    const text = read("RESULTS.md");
+  it("lists all result codes as they are in the code", () => {
+    const text = readDocument("RESULTS.md");
     Object.entries(RESULT_CODES).forEach((
       [name, { code, status, ran, retry }],
     ) =>
@@ -257,8 +257,8 @@
     );
   });
 
-  it("hold the table of metrics as it is in the code", () => {
-    const text = read("METRICS.md");
+  it("lists all metrics as they are in the code", () => {
+    const text = readDocument("METRICS.md");
     Object.entries(METRICS).forEach(([name, meaning]) =>
       assert.ok(
         text.includes(`| \`${name}\` | ${meaning} |`),
--- a/tests/whole_path_test.ts
+++ b/tests/deployment_test.ts
@@ -27,7 +27,7 @@
   };
 }
 
-describe("the whole path, three regions of three daemons", () => {
+describe("a deployment of three regions with three daemons each", () => {
   let deployment: RunningDeployment;
   const readUrl = (index: number) =>
     deployment.daemons[index]!.record.callerUrl;
@@ -42,18 +42,18 @@
       changes: deployment.resources,
     });
     assert.ok(applied.isOk());
-    const late = await waitUntil(() =>
+    const startFailure = await waitUntil(() =>
       deployment.daemons.every(({ gateway }) =>
         gateway.configuration.sequence === 1 &&
         gateway.membership.liveIds.length === 3
       )
     );
-    assert.equal(late, undefined);
+    assert.equal(startFailure, undefined);
   });
 
   after(() => deployment.stop());
 
-  it("answers a streamed request whole in every region", async () => {
+  it("answers a streamed request completely in every region", async () => {
     for (const index of [0, 3, 6]) {
       const question = createQuestion(`from ${index}`);
       const answer = await call(
@@ -67,8 +67,8 @@
     }
   });
 
-  describe("when an engine dies in the middle of a stream", () => {
-    it("goes on elsewhere, and the caller gets the whole answer once", async () => {
+  describe("when an engine crashes in the middle of a stream", () => {
+    it("resumes at another engine, and the caller gets the whole answer once", async () => {
       const { region } = deployment.daemons[0]!.record;
       const engines = [...deployment.standins.engines]
         .filter(([name]) => name.startsWith(region)).map(([, engine]) =>
@@ -96,7 +96,7 @@
       engines.forEach(({ faults }) => (faults.refuseResume = false));
     });
 
-    it("ends with a numbered error when nothing may go on", async () => {
+    it("ends the stream with a result code when no engine can resume", async () => {
       const engines = [...deployment.standins.engines.values()];
       engines.forEach(({ faults }) => {
         faults.breakAfterTokens = 3;
@@ -123,7 +123,7 @@
   });
 
   describe("when the store is down", () => {
-    it("goes on with idempotent work, and refuses the rest as not run", async () => {
+    it("goes on serving idempotent calls, and refuses others as not run", async () => {
       deployment.standins.platform.store.setDown(true);
       const question = createQuestion("store down");
       const answer = await call(
@@ -156,8 +156,8 @@
     });
   });
 
-  describe("when a daemon leaves", () => {
-    it("cuts off nothing in flight, and sends new callers elsewhere", async () => {
+  describe("when a daemon shuts down", () => {
+    it("completes calls in flight, and directs new callers to other daemons", async () => {
       const leaving = deployment.daemons[8]!;
       const question = createQuestion("leaving", 60);
       const inFlight = call(
@@ -183,12 +183,12 @@
       assert.equal(joinStream((await inFlight).text), createAnswer(question));
       await left;
       const { callerUrl } = leaving.record;
-      const gone = await waitUntil(() =>
+      const removalFailure = await waitUntil(() =>
         deployment.daemons.slice(6, 8).every(({ gateway }) =>
           !gateway.membership.liveIds.includes(leaving.record.id)
         )
       );
-      assert.equal(gone, undefined);
+      assert.equal(removalFailure, undefined);
       const entries = await call(readUrl(7), "GET", "/v1/entries");
       assert.ok(!entries.text.includes(callerUrl));
     });
--- a/tests/fleet_test.ts
+++ b/tests/fleet_test.ts
@@ -57,7 +57,7 @@
   };
 }
 
-async function ask(
+async function sendCall(
   fleet: FakeFleet,
   daemon: FakeDaemon,
   options: {
@@ -112,7 +112,7 @@
 describe("residency", () => {
   it("forwards a bound request to its region, and never runs it elsewhere", async () => {
     const fleet = await createFleet();
-    const answer = await ask(fleet, findDaemon(fleet, "r2-i1"), {
+    const answer = await sendCall(fleet, findDaemon(fleet, "r2-i1"), {
       token: BOUND_TOKEN,
     });
     assert.equal(answer.code, 0);
@@ -125,7 +125,7 @@
   it("refuses a bound request as not run when its region is unreachable", async () => {
     const fleet = await createFleet();
     fleet.cutOff("r1");
-    const answer = await ask(fleet, findDaemon(fleet, "r2-i1"), {
+    const answer = await sendCall(fleet, findDaemon(fleet, "r2-i1"), {
       token: BOUND_TOKEN,
     });
     assert.equal(answer.ran, "not-run");
@@ -142,7 +142,7 @@
     ], findDaemon(fleet, "r1-i1"));
     // The first instance still has the old configuration, and forwards to r1 before it receives the change.
     fleet.backend.cutRegions = new Set();
-    const answer = await ask(fleet, entry, { token: BOUND_TOKEN });
+    const answer = await sendCall(fleet, entry, { token: BOUND_TOKEN });
     assert.equal(answer.ran, "not-run");
     assert.match(answer.text, /Region r1 may not serve/);
     assert.equal(countRuns(fleet, "r1"), 0);
@@ -184,7 +184,7 @@
 
   it("ignores forwarding headers that a caller sends", async () => {
     const fleet = await createFleet();
-    const answer = await ask(fleet, findDaemon(fleet, "r1-i1"), {
+    const answer = await sendCall(fleet, findDaemon(fleet, "r1-i1"), {
       headers: { "x-forwarded-from": "r2-i1", "x-forwarded-team": "bound" },
     });
     assert.equal(answer.code, 0);
@@ -198,7 +198,7 @@
     const fleet = await createFleet();
     fleet.cutOff("r3");
     await fleet.clock.advance(20_000);
-    const answer = await ask(fleet, findDaemon(fleet, "r3-i1"));
+    const answer = await sendCall(fleet, findDaemon(fleet, "r3-i1"));
     assert.equal(answer.code, 0);
     assert.equal(answer.headers["x-served-region"], "r3");
     await fleet.apply(
@@ -221,10 +221,10 @@
     fleet.kill(daemon);
     const restarted = fleet.start(daemon.record);
     assert.equal(restarted.gateway.isReady, false);
-    assert.equal((await ask(fleet, restarted, { forMs: 0 })).code, 1206);
+    assert.equal((await sendCall(fleet, restarted, { forMs: 0 })).code, 1206);
     await fleet.clock.advance(3_000);
     assert.equal(restarted.gateway.isReady, true);
-    assert.equal((await ask(fleet, restarted)).code, 0);
+    assert.equal((await sendCall(fleet, restarted)).code, 0);
     fleet.stop();
   });
 });
@@ -255,7 +255,7 @@
     }], findDaemon(fleet, "r3-i1"));
     const runsAtLeaving = engine.runs.length;
     for (const daemon of fleet.daemons.slice(0, 3)) {
-      await ask(fleet, daemon, { forMs: 2_000 });
+      await sendCall(fleet, daemon, { forMs: 2_000 });
     }
     await fleet.clock.advance(10_000);
     assert.equal((await inFlight).code, 0);
@@ -268,11 +268,15 @@
     const fleet = await createFleet();
     fleet.backend.engines.forEach((engine) => (engine.failShare = 1));
     const headers = { "x-non-idempotent": "true", "idempotency-key": "k1" };
-    const answer = await ask(fleet, findDaemon(fleet, "r1-i1"), { headers });
+    const answer = await sendCall(fleet, findDaemon(fleet, "r1-i1"), {
+      headers,
+    });
     assert.equal(answer.ran, "unknown");
     assert.equal(countRuns(fleet, "r1"), 1);
     fleet.backend.engines.forEach((engine) => (engine.failShare = 0));
-    const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
+    const again = await sendCall(fleet, findDaemon(fleet, "r2-i1"), {
+      headers,
+    });
     assert.equal(again.code, 1303);
     assert.equal(
       countRuns(fleet, "r1") + countRuns(fleet, "r2") + countRuns(fleet, "r3"),
@@ -285,11 +289,15 @@
     const fleet = await createFleet();
     fleet.backend.engines.forEach((engine) => (engine.isDown = true));
     const headers = { "x-non-idempotent": "true", "idempotency-key": "k2" };
-    const answer = await ask(fleet, findDaemon(fleet, "r1-i1"), { headers });
+    const answer = await sendCall(fleet, findDaemon(fleet, "r1-i1"), {
+      headers,
+    });
     assert.equal(answer.ran, "not-run");
     fleet.backend.engines.forEach((engine) => (engine.isDown = false));
     await fleet.clock.advance(5_000);
-    const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
+    const again = await sendCall(fleet, findDaemon(fleet, "r2-i1"), {
+      headers,
+    });
     assert.equal(again.code, 0);
     assert.equal(
       countRuns(fleet, "r1") + countRuns(fleet, "r2") + countRuns(fleet, "r3"),
@@ -338,7 +346,9 @@
       await fleet.clock.advance(crashAfterMs);
       fleet.kill(entry);
       fleet.network.silent.add(entry.record.id);
-      const again = await ask(fleet, findDaemon(fleet, "r2-i1"), { headers });
+      const again = await sendCall(fleet, findDaemon(fleet, "r2-i1"), {
+        headers,
+      });
       const runs = countRuns(fleet, "r1") + countRuns(fleet, "r2") +
         countRuns(fleet, "r3");
       assert.ok(
@@ -352,14 +362,16 @@
   it("is refused as not run while the store is down, and runs once it is up again", async () => {
     const fleet = await createFleet();
     fleet.store.setDown(true);
-    const refused = await ask(fleet, findDaemon(fleet, "r1-i1"), { headers });
+    const refused = await sendCall(fleet, findDaemon(fleet, "r1-i1"), {
+      headers,
+    });
     assert.equal(refused.code, 1301);
     assert.equal(refused.ran, "not-run");
-    assert.equal((await ask(fleet, findDaemon(fleet, "r1-i1"))).code, 0);
+    assert.equal((await sendCall(fleet, findDaemon(fleet, "r1-i1"))).code, 0);
     fleet.store.setDown(false);
     await fleet.clock.advance(6_000);
     assert.equal(
-      (await ask(fleet, findDaemon(fleet, "r1-i1"), { headers })).code,
+      (await sendCall(fleet, findDaemon(fleet, "r1-i1"), { headers })).code,
       0,
     );
     fleet.stop();
--- a/tests/import_rules_test.ts
+++ b/tests/import_rules_test.ts
@@ -14,19 +14,19 @@
   ".tap",
 ]);
 
-/** Words of the platform's wire that only its adapter may know. */
-const WIRE_WORDS = [
+/** Names in the platform's protocols that only its adapter may use. */
+const PLATFORM_NAMES = [
   /x-havenspur-/i,
   /["'`/]havenspur\/(resolve|readiness|kv-|report|hold-)/,
   /HAVENSPUR_SETTINGS/,
   /\bop\/(config|evacuate)/,
   /\b(warmupRemainingMs|kvCacheTokens|targetLatencyMs|sessionAffinity)\b/,
 ];
-/** Folders that stand in for the platform, and tests, may speak its words. */
-const MAY_SPEAK = /^(platform|standin|tests)\/|_test\.ts$/;
+/** Sources that may use the platform's names: its adapter, its stand-ins and tests. */
+const MAY_USE_PLATFORM_NAMES = /^(platform|standin|tests)\/|_test\.ts$/;
 
-/** Topic folders that decide: they take ports and know no sockets, files or globals. */
-const DECIDING = [
+/** Topic folders with decision logic: they depend on ports, and use no sockets, files or globals. */
+const DECISION_FOLDERS = [
   "http_routes",
   "servers",
   "fleet",
@@ -49,7 +49,7 @@
   return readFileSync(join(ROOT, path), "utf8");
 }
 
-/** Folders in the order of docs/ARCHITECTURE.md, each with its place from the bottom. */
+/** Returns the rank of each folder, its row in the table of docs/ARCHITECTURE.md. */
 function readFolderRanks(): ReadonlyMap<string, number> {
   const page = readSource("docs/ARCHITECTURE.md");
   const table = page.slice(page.indexOf("| folder | holds |"));
@@ -60,7 +60,7 @@
   }));
 }
 
-/** Imports from one topic folder into another, without those of tests. */
+/** Returns imports from one topic folder into another, without those of tests. */
 function listFolderImports(): readonly {
   readonly path: string;
   readonly from: string;
@@ -77,12 +77,12 @@
 }
 
 describe("the folders", () => {
-  it("import only from those above them in the architecture's table", () => {
+  it("import only from folders above them in the table of docs/ARCHITECTURE.md", () => {
     const ranks = readFolderRanks();
-    const wrong = listFolderImports().filter(({ from, to }) =>
+    const violations = listFolderImports().filter(({ from, to }) =>
       (ranks.get(from) ?? -1) < (ranks.get(to) ?? Number.POSITIVE_INFINITY)
     );
-    assert.deepEqual(wrong, []);
+    assert.deepEqual(violations, []);
   });
 
   it("never import each other", () => {
@@ -92,25 +92,29 @@
     assert.deepEqual(mutual, []);
   });
 
-  it("leave the daemon to programs, benchmarks and stand-ins", () => {
-    const naming = listFolderImports().filter(({ to }) => to === "daemon")
+  it("import the daemon only in programs, benchmarks, stand-ins and the platform adapter", () => {
+    const violations = listFolderImports().filter(({ to }) => to === "daemon")
       .filter(({ from }) =>
         !["bin", "bench", "standin", "platform"].includes(from)
       );
-    assert.deepEqual(naming, []);
+    assert.deepEqual(violations, []);
   });
 });
 
 describe("the sources", () => {
-  it("speak the platform's words in its adapter alone", () => {
-    const speaking = listSources().filter((path) => !MAY_SPEAK.test(path))
-      .filter((path) => WIRE_WORDS.some((word) => word.test(readSource(path))));
-    assert.deepEqual(speaking, []);
+  it("use the platform's names only in its adapter", () => {
+    const violations = listSources().filter((path) =>
+      !MAY_USE_PLATFORM_NAMES.test(path)
+    )
+      .filter((path) =>
+        PLATFORM_NAMES.some((name) => name.test(readSource(path)))
+      );
+    assert.deepEqual(violations, []);
   });
 
-  it("of folders that decide import no sockets, programs or globals", () => {
-    const reaching = listSources()
-      .filter((path) => DECIDING.includes(path.split("/")[0]!))
+  it("of folders with decision logic import no sockets, files or outer folders, and use no global clocks, timers or random numbers", () => {
+    const violations = listSources()
+      .filter((path) => DECISION_FOLDERS.includes(path.split("/")[0]!))
       .filter((path) => !path.endsWith("_test.ts"))
       .filter((path) => {
         const text = readSource(path);
@@ -118,6 +122,6 @@
           /from "node:(net|http|fs|dgram)"/.test(text) ||
           /Date\.now\(|Math\.random\(|[^.\w]set(Timeout|Interval)\(/.test(text);
       });
-    assert.deepEqual(reaching, []);
+    assert.deepEqual(violations, []);
   });
 });
--- a/tests/platform_processes_test.ts
+++ b/tests/platform_processes_test.ts
@@ -45,12 +45,12 @@
   return instance;
 }
 
-async function awaitThat(isSo: () => Promise<boolean>): Promise<void> {
-  while (!await isSo()) await new Promise((resolve) => setTimeout(resolve, 30));
+async function awaitCondition(poll: () => Promise<boolean>): Promise<void> {
+  while (!await poll()) await new Promise((resolve) => setTimeout(resolve, 30));
 }
 
 function awaitReady(instance: PlatformProcess): Promise<void> {
-  return awaitThat(async () => {
+  return awaitCondition(async () => {
     assert.notEqual(instance.pid, undefined, "the instance has ended");
     return await instance.isReady();
   });
@@ -97,8 +97,8 @@
   return { store, standin, server };
 }
 
-describe("two instances as processes of their own", () => {
-  it("serve, name each other in the directory, and cut nothing when one leaves", async () => {
+describe("two instances in processes of their own", () => {
+  it("serve, list each other in the directory, and complete calls when one shuts down", async () => {
     let finish = () => {};
     const { standin } = await startPlatform((_, socket) => {
       finish = () => socket.write(createAnswer("c1", "late but whole"));
@@ -111,7 +111,7 @@
     const both = [first, second].map(({ host }) =>
       `${host}:${PLATFORM_PORTS.callers}`
     );
-    await awaitThat(async () =>
+    await awaitCondition(async () =>
       (await listEntries(first)).join() === both.join()
     );
     const caller = await openRawCaller(PLATFORM_PORTS.callers, second.host);
@@ -119,9 +119,13 @@
     caller.socket.write(
       createRequest("/a/x", { method: "POST", body: "change" }),
     );
-    await awaitThat(() => Promise.resolve(String(finish).includes("write")));
+    await awaitCondition(() =>
+      Promise.resolve(String(finish).includes("write"))
+    );
     second.signal("SIGTERM");
-    await awaitThat(async () => (await listEntries(first)).join() === both[0]);
+    await awaitCondition(async () =>
+      (await listEntries(first)).join() === both[0]
+    );
     assert.equal(await second.readReadiness(), 503);
     finish();
     const answer = await caller.awaitText("late but whole");
@@ -129,7 +133,7 @@
     assert.equal(await second.awaitEnd(), 0);
   });
 
-  it("learn the state from each other when one starts without the store", async () => {
+  it("get the state from each other when one starts without the store", async () => {
     const { standin } = await startPlatform((_, socket) =>
       socket.write(createAnswer("c1", "served"))
     );
@@ -137,8 +141,8 @@
     const [seed] = hosts;
     const first = startInstance("a", hosts[0], seed, standin.address);
     await awaitReady(first);
-    const nowhere = `${toOwnLoopback(5)}:1`;
-    const second = startInstance("b", hosts[1], seed, nowhere);
+    const unreachableStore = `${toOwnLoopback(5)}:1`;
+    const second = startInstance("b", hosts[1], seed, unreachableStore);
     await awaitReady(second);
     const caller = await openRawCaller(PLATFORM_PORTS.callers, second.host);
     CLEAN_UPS.push(() => caller.socket.destroy());
--- a/tests/processes_test.ts
+++ b/tests/processes_test.ts
@@ -28,7 +28,7 @@
   readonly url: string;
 }
 
-describe("daemons as processes of their own", () => {
+describe("daemons in processes of their own", () => {
   const folder = mkdtempSync(join(tmpdir(), "havenspur-"));
   const platform = new PlatformServer(systemClock);
   const engines = REGIONS.map((region) =>
@@ -82,7 +82,7 @@
   }
 
   async function runControl(
-    ...words: string[]
+    ...args: string[]
   ): Promise<{ code: number; output: string }> {
     const child = spawn(process.execPath, [
       join(BIN, "havenspurctl.js"),
@@ -90,7 +90,7 @@
       daemons.map(({ url }) => url).join(),
       "--token",
       OPERATOR,
-      ...words,
+      ...args,
     ]);
     let output = "";
     child.stdout.on("data", (chunk: Buffer) => (output += chunk.toString()));
@@ -125,9 +125,9 @@
     rmSync(folder, { recursive: true });
   });
 
-  it("apply resources through the command line, in force in every region", async () => {
+  it("apply resources from the command line in every region", async () => {
     const file = join(folder, "resources.toml");
-    const resource = (
+    const formatResource = (
       kind: string,
       name: string,
       lines: readonly string[],
@@ -141,18 +141,18 @@
     writeFileSync(
       file,
       [
-        ...resource("model", "m", []),
-        ...resource("service", "chat", ['model = "m"']),
-        ...resource("team", "t", [
+        ...formatResource("model", "m", []),
+        ...formatResource("service", "chat", ['model = "m"']),
+        ...formatResource("team", "t", [
           `tokenHashes = ["${hashToken(CALLER)}"]`,
           "requestsPerSecond = 10000",
         ]),
-        ...REGIONS.flatMap((region, at) =>
-          resource("engine", `e-${region}`, [
+        ...REGIONS.flatMap((region, index) =>
+          formatResource("engine", `e-${region}`, [
             'service = "chat"',
             `region = "${region}"`,
             'failureDomain = "fd"',
-            `url = "${engines[at]!.url}"`,
+            `url = "${engines[index]!.url}"`,
           ])
         ),
       ].join("\n"),
@@ -167,7 +167,7 @@
     assert.match((await runControl("audit")).output, /engine\/e-north/);
   });
 
-  it("cut off nothing on SIGTERM under load, and end with 0", async () => {
+  it("complete all calls on SIGTERM under load, and exit with 0", async () => {
     const leaving = daemons[0]!;
     const call = createCaller(CALLER);
     const questions = Array.from({ length: 12 }, (_, index) => ({
@@ -192,9 +192,9 @@
     assert.deepEqual(await ended, [0, null]);
   });
 
-  it("go on when one is killed, and callers of the others notice nothing", async () => {
-    const victim = daemons[4]!;
-    victim.child.kill("SIGKILL");
+  it("go on answering callers in full when another daemon is killed", async () => {
+    const killed = daemons[4]!;
+    killed.child.kill("SIGKILL");
     const call = createCaller(CALLER);
     const question = {
       model: "m",
@@ -212,7 +212,7 @@
     );
   });
 
-  it("name what is wrong in settings, with key and line, and end with 2", async () => {
+  it("print wrong settings with their key and line, and exit with 2", async () => {
     const file = join(folder, "wrong.toml");
     const text = createSettings("x", "north")
       .replace(
--- a/tests/region_hop_test.ts
+++ b/tests/region_hop_test.ts
@@ -78,7 +78,7 @@
   return { near, far, server };
 }
 
-async function ask(port: number): Promise<string> {
+async function sendCall(port: number): Promise<string> {
   const caller = await openRawCaller(port);
   CLEAN_UPS.push(() => caller.socket.destroy());
   caller.socket.write(
@@ -96,7 +96,7 @@
     const { near, server } = await startTwoRegions((_, socket) =>
       socket.write(createAnswer("c1", "from afar", ["X-Own: 1"]))
     );
-    const answer = await ask(near.port);
+    const answer = await sendCall(near.port);
     assert.match(answer, /^HTTP\/1\.1 200 OK/);
     assert.match(answer, /X-Own: 1\r\n/);
     assert.doesNotMatch(answer, /havenspur-hop/i);
@@ -119,7 +119,7 @@
         { prefix: "/b/", kind, service: "app" },
       ],
     });
-    assert.ok((await ask(near.port)).endsWith("as chosen"));
+    assert.ok((await sendCall(near.port)).endsWith("as chosen"));
   });
 
   it("is refused as not run if the server there did not run it", async () => {
@@ -128,17 +128,17 @@
         "HTTP/1.1 503 Full\r\nX-Havenspur-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
       )
     );
-    assert.match(await ask(near.port), /^HTTP\/1\.1 503 /);
+    assert.match(await sendCall(near.port), /^HTTP\/1\.1 503 /);
   });
 
   it("is answered with 502, never 503, if the server there closes the connection", async () => {
     const { near } = await startTwoRegions((_, socket) => socket.destroy());
-    assert.match(await ask(near.port), /^HTTP\/1\.1 502 /);
+    assert.match(await sendCall(near.port), /^HTTP\/1\.1 502 /);
   });
 
   it("is answered with 502 if the other instance closes the connection", async () => {
     const { near, far } = await startTwoRegions(() => far.close());
-    assert.match(await ask(near.port), /^HTTP\/1\.1 502 /);
+    assert.match(await sendCall(near.port), /^HTTP\/1\.1 502 /);
   });
 
   it("has a visibly incomplete answer if the server there closes the connection midway", async () => {
@@ -148,7 +148,7 @@
         () => setTimeout(() => socket.destroy(), 20),
       );
     });
-    const answer = await ask(near.port);
+    const answer = await sendCall(near.port);
     assert.doesNotMatch(answer, /0123456789$/);
     assert.match(answer, /^HTTP\/1\.1 (200|502)/);
   });
@@ -170,14 +170,14 @@
       (_, socket) => socket.write(createAnswer("c1", "x")),
       { homeRegions: ["north"] },
     );
-    assert.match(await ask(near.port), /^HTTP\/1\.1 503 /);
+    assert.match(await sendCall(near.port), /^HTTP\/1\.1 503 /);
     assert.equal(server.requests.length, 0);
   });
 
   it("is refused as not run if the other instance is unreachable", async () => {
     const { near, far, server } = await startTwoRegions(() => {});
     far.close();
-    assert.match(await ask(near.port), /^HTTP\/1\.1 503 /);
+    assert.match(await sendCall(near.port), /^HTTP\/1\.1 503 /);
     assert.equal(server.requests.length, 0);
   });
 
@@ -213,7 +213,7 @@
       createFarReport(far.peerPort, "other"),
       FAR_HOST,
     );
-    const answer = await ask(near.port);
+    const answer = await sendCall(near.port);
     const ids = [...answer.matchAll(/^id: (\d)$/gm)].map(([, id]) => id);
     assert.deepEqual(ids, ["1", "2"]);
     assert.ok(answer.endsWith("0\r\n\r\n"));
--- a/tests/slow_loop.ts
+++ b/tests/slow_loop.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../clock/mod.ts";
 
-/** A loop whose turns take as long as a test says; timers run between them. */
+/** A simulated event loop and its clock: a test sets how long each iteration takes, and runs the timers between iterations. */
 export class SlowLoop implements Clock {
   #nowMs = 0;
   #timers: {
@@ -21,12 +21,12 @@
     this.#timers.push({ dueMs: this.#nowMs + delayMs, callback, signal });
   }
 
-  /** Works for a time, without running timers. */
+  /** Advances the clock by the time of an iteration in milliseconds, without running timers. */
   work(forMs: number): void {
     this.#nowMs += forMs;
   }
 
-  /** Runs the timers that are due. */
+  /** Runs all timers that are due. */
   turn(): void {
     const due = this.#timers.filter(({ dueMs }) => dueMs <= this.#nowMs)
       .sort((a, b) => a.dueMs - b.dueMs);
--- a/tests/virtual_fleet.ts
+++ b/tests/virtual_fleet.ts
@@ -269,7 +269,7 @@
         const ignoreIfEnded = (callback: () => void) => () => {
           if (server.runningCalls.has(events)) callback();
         };
-        const answer = (status: number, headers: readonly string[]) => {
+        const sendAnswer = (status: number, headers: readonly string[]) => {
           server.runningCalls.delete(events);
           const ownHeaders = this.#parts.answerHeaders?.(server.id) ?? [];
           events.onHead({
@@ -284,7 +284,7 @@
           case "answer":
             this.clock.schedule(
               action.afterMs,
-              ignoreIfEnded(() => answer(action.status ?? 200, [])),
+              ignoreIfEnded(() => sendAnswer(action.status ?? 200, [])),
             );
             break;
           case "end":
@@ -297,7 +297,7 @@
             this.clock.schedule(
               DELAY_MS.near,
               ignoreIfEnded(() =>
-                answer(503, ["X-Not-Run", "1", ...action.headers])
+                sendAnswer(503, ["X-Not-Run", "1", ...action.headers])
               ),
             );
             break;
