--- a/load/load_report.ts
+++ b/load/load_report.ts
@@ -1,25 +1,25 @@
 import * as hdr from "hdr-histogram-js";
 
-/** How one call of a load run ended. */
+/** Result of one call of a load run. */
 export interface LoadCall {
   readonly mix: string;
   readonly atMs: number;
-  /** Number of the result code; 0 for a whole answer, -1 for no connection, -2 for one that broke. */
+  /** Result code; 0 for no error, -1 for a refused connection, -2 for a broken one. */
   readonly code: number;
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
   readonly tokens: number;
-  /** Times between tokens, in milliseconds. */
+  /** Times between consecutive tokens, in milliseconds. */
   readonly gapsMs: readonly number[];
   readonly isWhole: boolean;
   readonly isInTime: boolean;
-  /** Region that served it, if it was not the entry's. */
-  readonly awayRegion: string | undefined;
-  /** Whether the caller ended it on purpose. */
+  /** Region that served the call, if not the region of the entry. */
+  readonly remoteRegion: string | undefined;
+  /** Whether the scenario disconnected the caller on purpose. */
   readonly isDisconnected: boolean;
 }
 
-/** Quantiles in milliseconds. */
+/** Quantiles of durations, in milliseconds. */
 export interface Quantiles {
   readonly p50: number;
   readonly p95: number;
@@ -27,7 +27,7 @@
   readonly p999: number;
 }
 
-/** The result of a load run. */
+/** Summary of a load run. */
 export interface LoadReport {
   readonly calls: number;
   readonly seconds: number;
@@ -36,15 +36,16 @@
   readonly total: Quantiles;
   readonly betweenTokens: Quantiles;
   readonly refusals: Readonly<Record<string, number>>;
+  /** Share of the whole answers that came from a region other than the entry's. */
   readonly awayShare: number;
-  /** Calls that ended neither whole nor with a numbered error. */
+  /** Calls with neither a whole answer nor an error code that were not disconnected on purpose. */
   readonly notWhole: number;
-  /** Non-idempotent keys that ran more than once; `undefined` if no stand-in was asked. */
+  /** Repeated runs of non-idempotent calls; `undefined` if no stand-in was queried. */
   readonly ranTwice: number | undefined;
-  /** Engine seconds times price; `undefined` if no stand-in was asked. */
+  /** Sum of busy engine seconds times price; `undefined` if no stand-in was queried. */
   readonly cost: number | undefined;
   readonly cacheHitShare: number | undefined;
-  /** For each second: calls, whole answers, first token p95. */
+  /** For each second: calls, whole answers, and p95 of the time to the first token in milliseconds. */
   readonly series: readonly (readonly [
     second: number,
     calls: number,
@@ -53,7 +54,7 @@
   ])[];
 }
 
-/** What stand-ins report after a run. */
+/** Figures that stand-ins report after a run. */
 export interface StandinFacts {
   readonly ranTwice?: number;
   readonly cost?: number;
@@ -61,12 +62,12 @@
 }
 
 /**
- * Sums up a load run. Latencies count from the planned start of each call, so
- * that nothing is omitted while the system is slow.
+ * Summarizes a load run. Total times count from the planned start of each call, so
+ * that delays are not omitted while the system is slow.
  *
  * @param calls All calls.
- * @param seconds Length of the run.
- * @param facts What the stand-ins report. Default: nothing.
+ * @param seconds Duration of the run.
+ * @param facts Figures from the stand-ins. Default: none.
  */
 export function createLoadReport(
   calls: readonly LoadCall[],
@@ -79,8 +80,8 @@
     refusals[code] = (refusals[code] ?? 0) + 1;
   });
   const firstTokens = whole.flatMap(({ firstTokenMs }) => firstTokenMs ?? []);
-  const away =
-    whole.filter(({ awayRegion }) => awayRegion !== undefined).length;
+  const remoteCount =
+    whole.filter(({ remoteRegion }) => remoteRegion !== undefined).length;
   return {
     calls: calls.length,
     seconds,
@@ -89,7 +90,7 @@
     total: readQuantiles(whole.map(({ totalMs }) => totalMs)),
     betweenTokens: readQuantiles(whole.flatMap(({ gapsMs }) => gapsMs)),
     refusals,
-    awayShare: whole.length === 0 ? 0 : away / whole.length,
+    awayShare: whole.length === 0 ? 0 : remoteCount / whole.length,
     notWhole:
       calls.filter(({ code, isWhole, isDisconnected }) =>
         code === 0 && !isWhole && !isDisconnected
@@ -98,14 +99,14 @@
     cost: facts.cost,
     cacheHitShare: facts.cacheHitShare,
     series: Array.from({ length: Math.ceil(seconds) }, (_, second) => {
-      const inside = calls.filter(({ atMs }) =>
+      const callsInSecond = calls.filter(({ atMs }) =>
         Math.floor(atMs / 1_000) === second
       );
-      const answered = inside.filter(({ isWhole }) => isWhole);
+      const wholeInSecond = callsInSecond.filter(({ isWhole }) => isWhole);
       const { p95 } = readQuantiles(
-        answered.flatMap(({ firstTokenMs }) => firstTokenMs ?? []),
+        wholeInSecond.flatMap(({ firstTokenMs }) => firstTokenMs ?? []),
       );
-      return [second, inside.length, answered.length, p95] as const;
+      return [second, callsInSecond.length, wholeInSecond.length, p95] as const;
     }),
   };
 }
--- a/load/mod.ts
+++ b/load/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Load and experiments: scenarios, open-loop runs, reports and plots.
+ * Load tests: scenarios, open-loop runs, reports and plots.
  *
  * @example
  * ```ts
--- a/load/plot_page.ts
+++ b/load/plot_page.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { createRequire } from "node:module";
 
-/** One plot: values over x. */
+/** One plot of several series over the same x values. */
 export interface Plot {
   readonly title: string;
   readonly x: readonly number[];
@@ -22,10 +22,10 @@
 ];
 
 /**
- * Returns a page that draws plots with uPlot; it holds everything it needs.
+ * Returns a self-contained HTML page that draws plots with uPlot.
  *
  * @param title Heading of the page.
- * @param plots What to draw.
+ * @param plots Plots, drawn in this order.
  * @param text Shown above the plots, as preformatted text. Default: nothing.
  */
 export function createPlotPage(
--- a/load/run_load.ts
+++ b/load/run_load.ts
@@ -8,36 +8,40 @@
 import type { LoadCall } from "./load_report.ts";
 import type { Scenario } from "./scenario.ts";
 
-type Mix = Scenario["mix"][number];
+/** One kind of call in the mix of a scenario. */
+type MixEntry = Scenario["mix"][number];
 
 interface PlannedCall {
   readonly atMs: number;
-  readonly mix: Mix;
+  readonly mix: MixEntry;
   readonly token: string;
   readonly number: number;
 }
 
-/** What a run needs beside its scenario. */
+/** What a run needs in addition to its scenario. */
 export interface LoadParts {
+  /** Base URLs of the gateway. */
   readonly entries: readonly string[];
-  /** Sets a fault at a stand-in. */
+  /** Sets a fault at a stand-in or a daemon. */
   readonly setFault: (
     target: string,
     fault: Readonly<Record<string, unknown>>,
   ) => Promise<void>;
 }
 
+/** Delay of a slow reader after each chunk. */
 const SLOW_READ_MS = 20;
-/** Codes of this tool, beside those of the system: no connection, and one that broke. */
+/** Codes of this tool in addition to the result codes: the connection was refused, or it broke. */
 const NOT_CONNECTED = -1;
-const BROKEN = -2;
+const CONNECTION_BROKEN = -2;
 
 /**
- * Runs a scenario: open loop, so that a call starts at its time however the
- * earlier ones fare.
+ * Runs a scenario as an open loop: each call starts at its planned time, whether or
+ * not the earlier calls are complete.
  *
- * @param scenario What to do.
- * @param parts Entries and stand-ins.
+ * @param scenario Calls and faults.
+ * @param parts Entries and fault injection.
+ * @returns The results of all calls, in planned order.
  */
 export async function runLoad(
   scenario: Scenario,
@@ -58,8 +62,8 @@
   const calls = await Promise.all(planned.map(async (call) => {
     await waitUntil(call.atMs);
     const result = call.mix.kind === "non-idempotent"
-      ? await runOnce(callers.get(call.token)!, call)
-      : await runAtEntries(agent, parts.entries, call);
+      ? await runNonIdempotentCall(callers.get(call.token)!, call)
+      : await runWithFailover(agent, parts.entries, call);
     const totalMs = performance.now() - startMs - call.atMs;
     return { ...result, atMs: call.atMs, totalMs };
   }));
@@ -125,25 +129,26 @@
   items: readonly T[],
   random: Random,
 ): T {
-  let left = random.nextFloat() *
+  let remaining = random.nextFloat() *
     items.reduce((sum, { weight }) => sum + weight, 0);
-  return items.find(({ weight }) => (left -= weight) <= 0) ?? items[0]!;
+  return items.find(({ weight }) => (remaining -= weight) <= 0) ?? items[0]!;
 }
 
-const ENTRY_TRIES = 3;
+const MAX_ENTRY_ATTEMPTS = 3;
+/** Result code of an entry that is shutting down. */
 const LEAVING_CODE = 1205;
 
-/** A caller moves on from an entry that is away or leaving. */
-async function runAtEntries(
+/** Makes a call; tries another entry if one is unreachable or shutting down. */
+async function runWithFailover(
   agent: Agent,
   entries: readonly string[],
   call: PlannedCall,
 ): Promise<LoadCall> {
-  let last = createCall(call);
-  for (let tries = 0; tries < ENTRY_TRIES; tries++) {
-    last = await runStream(
+  let last = createInitialResult(call);
+  for (let attempt = 0; attempt < MAX_ENTRY_ATTEMPTS; attempt++) {
+    last = await runModelCall(
       agent,
-      entries[(call.number + tries * 3) % entries.length]!,
+      entries[(call.number + attempt * 3) % entries.length]!,
       call,
     );
     if (last.code !== NOT_CONNECTED && last.code !== LEAVING_CODE) return last;
@@ -151,7 +156,7 @@
   return last;
 }
 
-async function runOnce(
+async function runNonIdempotentCall(
   caller: Caller,
   { mix, number }: PlannedCall,
 ): Promise<LoadCall> {
@@ -162,85 +167,95 @@
     deadlineMs: mix.deadline_ms,
   });
   return {
-    ...createCall({ mix, number }),
+    ...createInitialResult({ mix, number }),
     code: answer.code,
     isWhole: answer.code === 0,
     isInTime: answer.code === 0,
   };
 }
 
-async function runStream(
+async function runModelCall(
   agent: Agent,
   url: string,
   planned: PlannedCall,
 ): Promise<LoadCall> {
   const { mix, number, token } = planned;
   const startMs = performance.now();
-  const ended = new AbortController();
+  const disconnect = new AbortController();
   let firstTokenMs: number | undefined;
-  let lastMs = startMs;
+  let lastTokenMs = startMs;
   const gapsMs: number[] = [];
-  const seen: string[] = [];
-  const parser = createParser({ onEvent: ({ data }) => seen.push(data) });
+  const events: string[] = [];
+  const parser = createParser({ onEvent: ({ data }) => events.push(data) });
   try {
     const { statusCode, headers, body } = await request(url + mix.path, {
       method: "POST",
       headers: createHeaders(mix, number, token),
-      body: JSON.stringify(createBody(mix, number)),
+      body: JSON.stringify(createChatRequest(mix, number)),
       dispatcher: agent,
-      signal: ended.signal,
+      signal: disconnect.signal,
     });
-    const away = headers["x-forwarded-region"];
-    const known = {
-      ...createCall(planned),
-      awayRegion: away === undefined ? undefined : String(away),
+    const servingRegion = headers["x-forwarded-region"];
+    const partialResult = {
+      ...createInitialResult(planned),
+      remoteRegion: servingRegion === undefined
+        ? undefined
+        : String(servingRegion),
     };
     if (statusCode !== 200 || mix.kind === "whole") {
       const text = await body.text();
       const code = Number(headers["x-result-code"] ?? "0");
       const isWhole = code === 0 && text.includes('"finish_reason":"stop"');
-      const tookMs = performance.now() - startMs;
-      return { ...known, code, isWhole, isInTime: tookMs <= mix.deadline_ms };
+      const durationMs = performance.now() - startMs;
+      return {
+        ...partialResult,
+        code,
+        isWhole,
+        isInTime: durationMs <= mix.deadline_ms,
+      };
     }
     for await (const chunk of body) {
       parser.feed(Buffer.from(chunk as Buffer).toString("utf8"));
       const nowMs = performance.now();
       if (firstTokenMs === undefined) firstTokenMs = nowMs - startMs;
-      else gapsMs.push(nowMs - lastMs);
-      lastMs = nowMs;
-      if (mix.kind === "disconnect" && seen.length >= 3) {
-        ended.abort();
-        return { ...known, firstTokenMs, isDisconnected: true };
+      else gapsMs.push(nowMs - lastTokenMs);
+      lastTokenMs = nowMs;
+      if (mix.kind === "disconnect" && events.length >= 3) {
+        disconnect.abort();
+        return { ...partialResult, firstTokenMs, isDisconnected: true };
       }
       if (mix.kind === "slow-reader") {
         await waitFor(systemClock, SLOW_READ_MS);
       }
     }
-    const error = seen.find((data) => data.startsWith('{"error"'));
+    const error = events.find((data) => data.startsWith('{"error"'));
     const code = error === undefined
       ? 0
       : Number(/"code":(\d+)/.exec(error)?.[1]);
-    const isWhole = code === 0 && seen.at(-1) === "[DONE]" &&
-      isComplete(seen, mix);
+    const isWhole = code === 0 && events.at(-1) === "[DONE]" &&
+      hasAllWords(events, mix);
     const isInTime = performance.now() - startMs <= mix.deadline_ms;
     return {
-      ...known,
+      ...partialResult,
       code,
       firstTokenMs,
       gapsMs,
-      tokens: seen.length - 2,
+      tokens: events.length - 2,
       isWhole,
       isInTime,
     };
   } catch (error) {
     const isRefused = (error as NodeJS.ErrnoException).code === "ECONNREFUSED";
-    return { ...createCall(planned), code: isRefused ? NOT_CONNECTED : BROKEN };
+    return {
+      ...createInitialResult(planned),
+      code: isRefused ? NOT_CONNECTED : CONNECTION_BROKEN,
+    };
   }
 }
 
-/** Every word of the answer is there, each once and in order. */
-function isComplete(seen: readonly string[], mix: Mix): boolean {
-  const words = seen.flatMap((data) => {
+/** Returns whether every word of the answer arrived exactly once and in order. */
+function hasAllWords(events: readonly string[], mix: MixEntry): boolean {
+  const words = events.flatMap((data) => {
     const match = /"content":"[0-9a-f]+-(\d+) "/.exec(data);
     return match === null ? [] : [Number(match[1])];
   });
@@ -249,7 +264,7 @@
 }
 
 function createHeaders(
-  mix: Mix,
+  mix: MixEntry,
   number: number,
   token: string,
 ): Record<string, string> {
@@ -264,7 +279,7 @@
   };
 }
 
-function createBody(mix: Mix, number: number): unknown {
+function createChatRequest(mix: MixEntry, number: number): unknown {
   const start = mix.sessions === 0
     ? `call ${number} `
     : `session ${number % mix.sessions} `;
@@ -276,8 +291,8 @@
   };
 }
 
-function createCall(
-  { mix, number }: { readonly mix: Mix; readonly number: number },
+function createInitialResult(
+  { mix, number }: { readonly mix: MixEntry; readonly number: number },
 ): LoadCall {
   return {
     mix: mix.name,
@@ -289,7 +304,7 @@
     gapsMs: [],
     isWhole: false,
     isInTime: false,
-    awayRegion: undefined,
+    remoteRegion: undefined,
     isDisconnected: false,
   };
 }
--- a/logs/explain_call.ts
+++ b/logs/explain_call.ts
@@ -1,4 +1,4 @@
-/** One line of the log, as far as an explanation needs it. */
+/** One parsed line of the log. */
 interface LogLine {
   readonly timeMs: number;
   readonly time: string;
@@ -7,11 +7,12 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Time around a call in which what instances learned may explain it, in milliseconds. */
+/** Milliseconds before the first line of a call in which its instances may have learned what explains it. */
 const CONTEXT_MS = 5_000;
-/** Lines of context at the most, the nearest to the call. */
+/** Maximum number of context lines; the latest are kept, which are nearest to the call. */
 const MAX_CONTEXT_LINES = 20;
-const OWN_FIELDS: ReadonlySet<string> = new Set([
+/** Fields that are printed at a fixed place, or not at all. */
+const FIXED_FIELDS: ReadonlySet<string> = new Set([
   "level",
   "time",
   "instance",
@@ -20,12 +21,12 @@
 ]);
 
 /**
- * Explains what became of a call: every decision on it at any instance, and what
- * the same instances learned shortly before.
+ * Explains what happened to a call: lists every decision on the call at any instance,
+ * and what the same instances learned shortly before.
  *
- * @param lines Lines of logs, of any number of instances, in any order.
+ * @param lines Log lines of any number of instances, in any order.
  * @param callId The caller's id of the call.
- * @returns Lines for people; none where no line names the call.
+ * @returns Human-readable lines; none if no log line names the call.
  */
 export function explainCall(
   lines: readonly string[],
@@ -33,24 +34,24 @@
 ): readonly string[] {
   const parsed = lines.flatMap((line) => parseLine(line) ?? [])
     .sort((a, b) => a.timeMs - b.timeMs);
-  const own = parsed.filter(({ fields }) => fields.call === callId);
-  const [first] = own;
-  const last = own.at(-1);
+  const callLines = parsed.filter(({ fields }) => fields.call === callId);
+  const [first] = callLines;
+  const last = callLines.at(-1);
   if (first === undefined || last === undefined) return [];
-  const instances = new Set(own.map(({ instance }) => instance));
+  const instances = new Set(callLines.map(({ instance }) => instance));
   const context = parsed.filter((line) =>
     line.fields.call === undefined && instances.has(line.instance) &&
     line.timeMs >= first.timeMs - CONTEXT_MS && line.timeMs <= last.timeMs
   ).slice(-MAX_CONTEXT_LINES);
   return [
     `call ${callId}`,
-    ...own.map(formatLine),
+    ...callLines.map(formatLine),
     ...(context.length === 0 ? [] : ["learned there shortly before"]),
     ...context.map(formatLine),
   ];
 }
 
-/** Reads a line; what a collector put before the JSON object is passed over. */
+/** Parses a line; ignores a prefix that a log collector put before the JSON object. */
 function parseLine(line: string): LogLine | undefined {
   const start = line.indexOf("{");
   if (start < 0) return undefined;
@@ -67,14 +68,14 @@
       fields,
     };
   } catch {
-    // Whatever else is in the stream is no line of ours.
+    // The stream may hold lines of other programs.
     return undefined;
   }
 }
 
 function formatLine({ fields, instance, message, time }: LogLine): string {
   const shown = Object.entries(fields)
-    .filter(([name]) => !OWN_FIELDS.has(name))
+    .filter(([name]) => !FIXED_FIELDS.has(name))
     .map(([name, value]) => `${name}=${String(value)}`);
   return `  ${time} ${instance} ${message}: ${shown.join(" ")}`;
 }
--- a/logs/explain_call_test.ts
+++ b/logs/explain_call_test.ts
@@ -18,7 +18,7 @@
 ];
 
 describe("explainCall()", () => {
-  it("lists decisions in order, and what the instance learned before", () => {
+  it("lists decisions in order of time, then what the same instance learned before", () => {
     const explained = explainCall(LINES, "c1");
     assert.equal(explained.length, 5);
     assert.match(explained[1]!, /a rejected: at=s1$/);
@@ -26,7 +26,7 @@
     assert.match(explained[4]!, /a server left out: server=s2$/);
   });
 
-  it("says nothing of a call that no line names", () => {
+  it("returns no lines if no log line names the call", () => {
     assert.deepEqual(explainCall(LINES, "c9"), []);
   });
 });
--- a/logs/line_budget.ts
+++ b/logs/line_budget.ts
@@ -1,39 +1,40 @@
-/** Span over which lines are counted, in milliseconds. */
-const SPAN_MS = 1_000;
+/** Window in which lines are counted, in milliseconds. */
+const WINDOW_MS = 1_000;
 
 /**
- * Bounds how many lines of one kind are written, so that a flood of what they tell
- * does not drown the log.
+ * Limits the rate of log lines of one kind, so that frequent events of that kind
+ * do not hide the other lines.
  */
 export class LineBudget {
   readonly #linesPerSecond: number;
-  #sinceMs = Number.NEGATIVE_INFINITY;
-  #written = 0;
-  #passedOver = 0;
+  #windowStartMs = Number.NEGATIVE_INFINITY;
+  #writtenInWindow = 0;
+  #suppressed = 0;
 
-  /** @param linesPerSecond Lines that one second may hold. */
+  /** @param linesPerSecond Maximum number of lines written in one second. */
   constructor(linesPerSecond: number) {
     this.#linesPerSecond = linesPerSecond;
   }
 
   /**
-   * Takes one line.
+   * Decides whether one line is written.
    *
-   * @param nowMs Time now.
-   * @returns How many lines were passed over before it; `undefined`: pass this one over, too.
+   * @param nowMs Current time, in milliseconds.
+   * @returns Number of lines suppressed since the last one written; `undefined` if this line
+   *   is suppressed, too.
    */
   take(nowMs: number): number | undefined {
-    if (nowMs - this.#sinceMs >= SPAN_MS) {
-      this.#sinceMs = nowMs;
-      this.#written = 0;
+    if (nowMs - this.#windowStartMs >= WINDOW_MS) {
+      this.#windowStartMs = nowMs;
+      this.#writtenInWindow = 0;
     }
-    if (this.#written >= this.#linesPerSecond) {
-      this.#passedOver++;
+    if (this.#writtenInWindow >= this.#linesPerSecond) {
+      this.#suppressed++;
       return undefined;
     }
-    this.#written++;
-    const before = this.#passedOver;
-    this.#passedOver = 0;
-    return before;
+    this.#writtenInWindow++;
+    const suppressedBefore = this.#suppressed;
+    this.#suppressed = 0;
+    return suppressedBefore;
   }
 }
--- a/logs/logger.ts
+++ b/logs/logger.ts
@@ -1,15 +1,15 @@
 import loglevel from "loglevel";
 import type { Clock } from "../clock/mod.ts";
 
-/** Levels of the log, the quietest last. */
+/** Levels of the log, from the most to the least verbose. */
 export type LogLevel = "trace" | "debug" | "info" | "warn" | "error" | "silent";
 
-/** Facts that go with a line. */
+/** Structured fields of a line. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Writes structured lines: one JSON object each. */
+/** Writes each log line as one JSON object. */
 export interface Logger {
   debug(message: string, fields?: LogFields): void;
   info(message: string, fields?: LogFields): void;
@@ -17,7 +17,7 @@
   error(message: string, fields?: LogFields): void;
   /** Changes the level while the daemon runs. */
   setLevel(level: LogLevel): void;
-  /** The level in force. */
+  /** The current level. */
   readonly level: LogLevel;
 }
 
@@ -27,14 +27,14 @@
   /** Fields of every line, such as instance and region. */
   readonly fields: LogFields;
   readonly level: LogLevel;
-  /** Takes each line, with its level. */
+  /** Receives each line with its level. */
   readonly write: (line: string, level: LogLevel) => void;
 }
 
 /**
- * Returns a logger. Tokens and bodies are never passed to it.
+ * Returns a logger. Callers must never pass tokens or bodies to it.
  *
- * @param parts Clock, fields, level and where lines go.
+ * @param parts Clock, fields, level and receiver of the lines.
  */
 export function createLogger(parts: LoggerParts): Logger {
   const logger = loglevel.getLogger(Symbol("havenspur"));
--- a/logs/mod.ts
+++ b/logs/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Structured logs by loglevel.
+ * Structured logs, written with loglevel.
  *
  * @example
  * ```ts
--- a/metrics/metrics.ts
+++ b/metrics/metrics.ts
@@ -1,4 +1,4 @@
-/** Names of all metrics; `docs/METRICS.md` holds the same table, checked by a test. */
+/** Names and descriptions of all metrics. A test checks that `docs/METRICS.md` has the same table. */
 export const METRICS = {
   "request.count": "counter; tags: service, result",
   "request.total_ms": "timing; tags: service",
@@ -48,20 +48,20 @@
 /** Name of a metric. */
 export type MetricName = keyof typeof METRICS;
 
-/** Tags of one value. */
+/** Tags of one metric value. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Where values go. */
+/** Receiver of metric values. */
 export interface Metrics {
   /** Adds to a counter. */
   count(name: MetricName, by?: number, tags?: MetricTags): void;
   /** Sets a gauge. */
   gauge(name: MetricName, value: number, tags?: MetricTags): void;
-  /** Records a time in milliseconds. */
+  /** Records a duration in milliseconds. */
   time(name: MetricName, valueMs: number, tags?: MetricTags): void;
 }
 
-/** Drops all values. */
+/** Receiver that discards all metric values. */
 export const NO_METRICS: Metrics = {
   count: () => {},
   gauge: () => {},
--- a/metrics/mod.ts
+++ b/metrics/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The metrics of a daemon; sent by hot-shots where settings name a server.
+ * Metrics of a daemon; sent with hot-shots if the settings name a StatsD server.
  *
  * @example
  * ```ts
--- a/settings/mod.ts
+++ b/settings/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of the daemons in TOML, checked by a schema.
+ * Settings of the daemons in TOML, validated by a schema.
  *
  * @example
  * ```ts
--- a/settings/parse_settings.ts
+++ b/settings/parse_settings.ts
@@ -2,22 +2,23 @@
 import { parse, TomlError } from "smol-toml";
 import type { z } from "zod";
 
-/** One thing that is wrong with a settings file. */
+/** One error in a settings file. */
 export interface SettingsProblem {
-  /** Key with dots, or empty for the file. */
+  /** Dotted key; empty if the error is about the whole file. */
   readonly key: string;
-  /** Line in the file, from 1, where it is known. */
+  /** Line in the file, counted from 1; `undefined` if unknown. */
   readonly line: number | undefined;
-  /** What was wanted and what was got. */
+  /** Expected and actual value. */
   readonly message: string;
 }
 
 /**
- * Parses a TOML text and checks it against a schema. Every problem is named by
- * its key, the line where it can be found, what was wanted and what was got.
+ * Parses a TOML text and validates it against a schema. Every problem names the
+ * key, its line, and the expected and the actual value.
  *
- * @param text The file.
- * @param schema What it must hold.
+ * @param text Contents of the file.
+ * @param schema Schema of the file.
+ * @returns The parsed values, or all problems.
  */
 export function parseSettings<Schema extends z.ZodType>(
   text: string,
@@ -38,11 +39,13 @@
   );
 }
 
-/** Returns a problem as one line of text. */
+/** Formats a problem as one line of text. */
 export function formatProblem(file: string, problem: SettingsProblem): string {
-  const place = problem.line === undefined ? file : `${file}:${problem.line}`;
+  const location = problem.line === undefined
+    ? file
+    : `${file}:${problem.line}`;
   const key = problem.key === "" ? "" : `"${problem.key}" `;
-  return `${place}: Cannot parse settings: ${key}${problem.message}`;
+  return `${location}: Cannot parse settings: ${key}${problem.message}`;
 }
 
 function toProblems(
@@ -58,13 +61,13 @@
       message: "is not a known key",
     }));
   }
-  const got = readPath(values, path);
-  const shown = got === undefined
+  const actual = readPath(values, path);
+  const actualText = actual === undefined
     ? "nothing"
-    : JSON.stringify(got).slice(0, 80);
+    : JSON.stringify(actual).slice(0, 80);
   const message = `${
     issue.message.replace(/^./, (first) => first.toLowerCase())
-  }, got ${shown}`;
+  }, got ${actualText}`;
   return [{ key: path.join("."), line: findLine(text, path), message }];
 }
 
@@ -78,17 +81,18 @@
   );
 }
 
-/** Finds the line of a key in its table; of the table, if the key is missing. */
+/** Finds the line of a key in its table; if the key is missing, the line of the table. */
 function findLine(text: string, path: readonly string[]): number | undefined {
   const table = path.slice(0, -1).join(".");
   const key = path.at(-1) ?? "";
-  let current = "";
+  let currentTable = "";
   let tableLine: number | undefined;
   const found = text.split("\n").findIndex((line, index) => {
     const header = /^\s*\[([^\]]+)\]/.exec(line)?.[1]?.trim();
-    if (header !== undefined) current = header;
+    if (header !== undefined) currentTable = header;
     if (header === table || header === path.join(".")) tableLine = index + 1;
-    return current === table && line.trimStart().replace(/^"|"(?=\s*=)/g, "")
+    return currentTable === table &&
+      line.trimStart().replace(/^"|"(?=\s*=)/g, "")
           .split("=")[0]!.trim() === key;
   });
   return found >= 0 ? found + 1 : tableLine;
--- a/settings/settings.ts
+++ b/settings/settings.ts
@@ -21,31 +21,31 @@
     failure_domain: z.string().min(1).max(64),
   }),
   listen: z.strictObject({
-    /** Address for callers, operators and peers; UDP uses the same port. */
+    /** Address for callers, operators and peers; UDP uses the same port number. */
     address,
   }),
   platform: z.strictObject({
     store_url: url,
     instances_url: url,
     directory_url: url,
-    /** Regions in which the store keeps its data; for residency. */
+    /** Regions in which the store keeps its data; checked against residency rules. */
     store_regions: z.array(z.string()).default([]),
-    /** Loads of model weights a minute that the weight store takes from all regions together. */
+    /** Loads of model weights per minute that the weight store allows for all regions together. */
     weight_loads_per_minute: z.number().positive().max(100_000).default(120),
-    /** Calls a second that all daemons together may make. */
+    /** Calls to the store per second that all daemons together may make. */
     store_calls_per_second: z.number().positive().max(100_000).default(300),
   }),
-  /** Plain HTTP calls, passed on unchanged as routes declare. Default: not taken. */
+  /** Plain HTTP calls, forwarded unchanged as routes declare. Default: not accepted. */
   http: z.strictObject({
     /** Address for callers. */
     address,
     /** Address for other instances: calls over TCP, reports over UDP. */
     peer_address: address,
-    /** Such addresses of a few other instances. */
+    /** `peer_address` of a few other instances. */
     seeds: z.array(address).default([]),
   }).optional(),
   tokens: z.strictObject({
-    /** SHA-256 of the first operators' token. */
+    /** SHA-256 of the first operator token. */
     operator_hash: hash,
     /** Secret shared by all daemons. */
     peer: z.string().min(16).max(256),
@@ -62,7 +62,7 @@
     drain_timeout_ms: z.number().int().min(0).max(3_600_000).default(600_000),
   }).prefault({}),
   journal: z.strictObject({
-    /** The same at all daemons, for ever. */
+    /** Must be the same at all daemons and must never change. */
     shards: z.number().int().min(1).max(4_096).default(4),
     retention_ms: z.number().int().min(60_000).max(604_800_000).default(
       3_600_000,
@@ -74,13 +74,13 @@
       .default("info"),
   }).prefault({}),
   metrics: z.strictObject({
-    /** Address of a StatsD server; without it no metrics are sent. */
+    /** Address of a StatsD server. Default: no metrics are sent. */
     statsd: address.optional(),
   }).prefault({}),
   tls: z.strictObject({
     certificate: z.string().min(1),
     key: z.string().min(1),
-    /** Certificates that are trusted for peers and backend servers. */
+    /** File of the certificate authorities trusted for peers and backend servers. */
     authorities: z.string().min(1).optional(),
   }).optional(),
 });
