--- a/bin/check_deployment.ts
+++ b/bin/check_deployment.ts
@@ -3,26 +3,27 @@
 import { OperatorClient } from "./operator_client.ts";
 import type { RunningDeployment } from "./start_deployment.ts";
 
-/** What a check needs. */
+/** Options of a check. */
 export interface CheckOptions {
   readonly operatorToken: string;
   readonly callerToken: string;
   readonly model: string;
-  /** Takes one line for each step. */
+  /** Receives one line for each step. */
   readonly report: (line: string) => void;
 }
 
-/** A step: `undefined` if all is well, else what is wrong. */
+/** Step of a check; resolves to `undefined` if it passed, otherwise to what was wrong. */
 type Step = () => Promise<string | undefined>;
 
-const WAIT_TRIES = 100;
-const WAIT_MS = 50;
+const MAX_WAIT_ATTEMPTS = 100;
+const WAIT_INTERVAL_MS = 50;
 
 /**
- * Makes one round through a fresh deployment.
+ * Checks a newly started deployment: applies its resources, makes calls of each kind,
+ * and drains a daemon.
  *
- * @param deployment Nothing must be applied to it yet.
- * @param options Tokens and model.
+ * @param deployment Deployment to which no resources have been applied yet.
+ * @param options Tokens, model and receiver of the results.
  * @returns The number of steps that failed.
  */
 export async function checkDeployment(
@@ -35,18 +36,20 @@
     token: options.operatorToken,
   });
   const call = createCaller(options.callerToken);
-  const question = {
+  const chatRequest = {
     model: options.model,
     max_tokens: 8,
     messages: [{ role: "user", content: "check" }],
   };
-  const plain = deployment.resources.find(({ kind }) =>
+  const plainService = deployment.resources.find(({ kind }) =>
     kind === "plain-service"
   )!;
-  const rules = plain.spec.nonIdempotent as readonly {
+  const nonIdempotentRules = plainService.spec.nonIdempotent as readonly {
     readonly path: string;
   }[];
-  const planPath = `/services/${plain.name}${rules[0]!.path}`;
+  const planPath = `/services/${plainService.name}${
+    nonIdempotentRules[0]!.path
+  }`;
   const steps: readonly (readonly [string, Step])[] = [
     ["apply", async () => {
       const applied = await operator.call("POST", "/api/v1/changes", {
@@ -68,11 +71,11 @@
     }],
     ["streamed request", async () => {
       const answer = await call(urls[0]!, "POST", "/v1/chat/completions", {
-        ...question,
+        ...chatRequest,
         stream: true,
       });
       const text = joinStream(answer.text);
-      return text === createAnswer(question)
+      return text === createAnswer(chatRequest)
         ? undefined
         : `got ${answer.text.slice(0, 300)}`;
     }],
@@ -81,9 +84,9 @@
         urls[4]!,
         "POST",
         "/v1/chat/completions",
-        question,
+        chatRequest,
       );
-      return answer.text.includes(createAnswer(question))
+      return answer.text.includes(createAnswer(chatRequest))
         ? undefined
         : `got ${answer.text}`;
     }],
@@ -109,12 +112,14 @@
           planPath.endsWith(path)
         );
       if (first.status !== 200) {
-        return `the first got ${first.status} ${first.text}`;
+        return `the first request got ${first.status} ${first.text}`;
       }
       if (second.text !== first.text) {
-        return `the second got ${second.status} ${second.text}`;
+        return `the second request got ${second.status} ${second.text}`;
       }
-      return runs.length === 1 ? undefined : `it ran ${runs.length} times`;
+      return runs.length === 1
+        ? undefined
+        : `wanted one run, got ${runs.length}`;
     }],
     ["HTTP route", async () => {
       const route = deployment.resources.find(({ kind }) =>
@@ -137,7 +142,7 @@
         custom_id: `item-${index}`,
         url: "/v1/chat/completions",
         body: {
-          ...question,
+          ...chatRequest,
           messages: [{ role: "user", content: `item ${index}` }],
         },
       }));
@@ -155,48 +160,50 @@
       }
       const results = await call(urls[8]!, "GET", `/v1/batches/${id}/results`);
       const lines = results.text.trim().split("\n");
-      const isWhole = lines.length === items.length &&
+      const isComplete = lines.length === items.length &&
         lines.every((line, index) =>
           line.includes(createAnswer(items[index]!.body))
         );
-      return isWhole ? undefined : `status ${status}, ${lines.length} answers`;
+      return isComplete
+        ? undefined
+        : `status ${status}, ${lines.length} answers`;
     }],
     ["drain of a daemon", async () => {
-      const leaving = deployment.daemons[2]!;
+      const drainedDaemon = deployment.daemons[2]!;
       const stream = call(
-        leaving.record.callerUrl,
+        drainedDaemon.record.callerUrl,
         "POST",
         "/v1/chat/completions",
         {
-          ...question,
+          ...chatRequest,
           stream: true,
           max_tokens: 40,
         },
       );
       await new Promise((resolve) => setTimeout(resolve, 100));
-      await Promise.all([leaving.leave(), stream]);
+      await Promise.all([drainedDaemon.shutDown(), stream]);
       const text = joinStream((await stream).text);
-      return text === createAnswer({ ...question, max_tokens: 40 })
+      return text === createAnswer({ ...chatRequest, max_tokens: 40 })
         ? undefined
         : `the stream in flight got ${text.slice(-80)}`;
     }],
   ];
   let failed = 0;
   for (const [name, step] of steps) {
-    const problem = await step().catch((error: Error) =>
+    const failure = await step().catch((error: Error) =>
       error.stack ?? error.message
     );
-    if (problem !== undefined) failed++;
+    if (failure !== undefined) failed++;
     options.report(
-      `${problem === undefined ? "ok" : "FAILED"} ${name}${
-        problem ? `: ${problem}` : ""
+      `${failure === undefined ? "ok" : "FAILED"} ${name}${
+        failure ? `: ${failure}` : ""
       }`,
     );
   }
   return failed;
 }
 
-/** Joins the words of a stream of chunks; adds nothing if it did not end. */
+/** Returns the text of a stream of chunks; empty if the stream did not end with `[DONE]`. */
 export function joinStream(text: string): string {
   const data = text.split("\n").filter((line) => line.startsWith("data: "))
     .map((line) => line.slice("data: ".length));
@@ -211,25 +218,25 @@
   }).join("");
 }
 
-/** Waits until a condition holds; says so if it never does. */
+/** Waits until a condition holds; resolves to an error message if it does not in time. */
 export async function waitUntil(
   condition: () => boolean,
 ): Promise<string | undefined> {
-  for (let attempt = 0; attempt < WAIT_TRIES; attempt++) {
+  for (let attempt = 0; attempt < MAX_WAIT_ATTEMPTS; attempt++) {
     if (condition()) return undefined;
-    await new Promise((resolve) => setTimeout(resolve, WAIT_MS));
+    await new Promise((resolve) => setTimeout(resolve, WAIT_INTERVAL_MS));
   }
-  return "the condition did not come to hold";
+  return "the condition did not hold in time";
 }
 
-/** What a caller got. */
+/** Response that a caller received. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
-/** Returns a function that makes calls with one token. */
+/** Returns a function that makes calls with the given token. */
 export function createCaller(token: string): (
   url: string,
   method: "GET" | "POST" | "DELETE",
--- a/bin/exit_codes.ts
+++ b/bin/exit_codes.ts
@@ -1,13 +1,13 @@
 /** Exit codes of the programs; documented in `docs/OPERATORS.md`. */
 export const EXIT_CODES = {
   OK: 0,
-  /** The system refused. */
+  /** The request was refused. */
   REFUSED: 1,
-  /** The command line, a file or the settings are wrong. */
+  /** The command line, a file or the settings are invalid. */
   USAGE: 2,
   /** No daemon could be reached. */
   UNREACHABLE: 3,
-  /** Someone else changed the resource. */
+  /** Another operator changed the resource in the meantime. */
   CONFLICT: 4,
   /** Accepted, but not yet reported in force by every region. */
   NOT_IN_FORCE: 5,
--- a/bin/format_table.ts
+++ b/bin/format_table.ts
@@ -1,6 +1,6 @@
 import Table from "cli-table3";
 
-const NO_LINES = {
+const NO_BORDERS = {
   "top": "",
   "top-mid": "",
   "top-left": "",
@@ -19,10 +19,10 @@
 };
 
 /**
- * Returns a table for people.
+ * Formats a table without borders for the terminal.
  *
- * @param head Names of the columns.
- * @param rows Cells.
+ * @param head Column heads.
+ * @param rows Cells of each row.
  */
 export function formatTable(
   head: readonly string[],
@@ -30,7 +30,7 @@
 ): string {
   const table = new Table({
     head: [...head],
-    chars: NO_LINES,
+    chars: NO_BORDERS,
     style: { "padding-left": 0, "padding-right": 0, head: [], border: [] },
   });
   table.push(...rows.map((row) => [...row]));
--- a/bin/havenspur_embedded.ts
+++ b/bin/havenspur_embedded.ts
@@ -19,11 +19,11 @@
 
 const program = new Command("havenspur")
   .description(
-    "Runs a whole deployment in one process: stand-ins and nine daemons, on loopback.",
+    "Runs a whole deployment in one process, on loopback: stand-ins and nine daemons.",
   )
   .option(
     "--check",
-    "make one round through everything, and end with 0 or 1",
+    "check every part once, and exit with 0 or 1",
     false,
   )
   .option(
@@ -84,7 +84,7 @@
   ).join("\n")
 }
 
-Ask a model, as a stream:
+Call a model and stream the answer:
   curl -N ${entry}/v1/chat/completions -H 'authorization: Bearer ${token}' \\
     -H 'content-type: application/json' \\
     -d '{"model":"${model}","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"hello"}]}'
@@ -103,7 +103,7 @@
 }
   node dist/bin/havenspurctl.js audit
 
-Ctrl-C ends it.`);
+Press Ctrl-C to stop.`);
 const stop = () =>
   void deployment.stop().then(() => process.exit(EXIT_CODES.OK));
 process.on("SIGINT", stop);
--- a/bin/havenspur_load.ts
+++ b/bin/havenspur_load.ts
@@ -26,16 +26,19 @@
 }
 
 const OPERATOR_TOKEN = "operator-token-example";
-const PRICES = { new: 1, old: 0.4 };
+/** Prices of the example engines per second, by speed. */
+const PRICES_PER_SECOND = { new: 1, old: 0.4 };
 
 const program = new Command("havenspur-load")
-  .description("Makes load from a scenario, checks every answer, and reports.")
+  .description(
+    "Generates load from a scenario, checks every answer, and reports.",
+  )
   .version("0.1.0")
   .argument("[scenario]", "TOML file")
   .option("--embedded <folder>", "run a deployment in this process and load it")
   .option("--json <file>", "write the report as JSON")
-  .option("--report <file>", "write the report as a page with plots")
-  .option("--compare <files...>", "put two JSON reports side by side")
+  .option("--report <file>", "write the report as an HTML page with plots")
+  .option("--compare <files...>", "compare two JSON reports side by side")
   .showHelpAfterError()
   .addHelpText(
     "after",
@@ -55,7 +58,7 @@
 else await runScenario(program.args[0]);
 
 async function runScenario(file: string | undefined): Promise<void> {
-  if (file === undefined) fail("Cannot run: a scenario is missing");
+  if (file === undefined) fail("Cannot run: no scenario file was given");
   const parsed = parseSettings(readFileSync(file, "utf8"), SCENARIO_SCHEMA);
   if (parsed.isErr()) {
     fail(
@@ -73,7 +76,9 @@
     entries,
     setFault: (target, fault) => setFault(deployment, target, fault),
   });
-  const facts = deployment === undefined ? {} : readFacts(deployment, scenario);
+  const facts = deployment === undefined
+    ? {}
+    : readStandinFacts(deployment, scenario);
   const report = createLoadReport(calls, scenario.duration_s, facts);
   await deployment?.stop();
   console.log(formatReport(report));
@@ -81,7 +86,7 @@
     writeFileSync(options.json, `${JSON.stringify(report)}\n`);
   }
   if (options.report !== undefined) {
-    writeFileSync(options.report, createPage(file, report));
+    writeFileSync(options.report, createReportPage(file, report));
   }
   console.log(JSON.stringify({ ...report, series: undefined }));
   process.exit(report.notWhole === 0 && (report.ranTwice ?? 0) === 0 ? 0 : 1);
@@ -101,7 +106,10 @@
   return deployment;
 }
 
-/** Targets are the platform, an engine or plain server by name, a daemon by name, or a URL. */
+/**
+ * Sets a fault at a target: `platform`, the name of an engine, plain server or daemon,
+ * or the URL of a stand-in.
+ */
 async function setFault(
   deployment: RunningDeployment | undefined,
   target: string,
@@ -109,7 +117,7 @@
 ): Promise<void> {
   const daemon = deployment?.daemons.find(({ record }) => record.id === target);
   if (daemon !== undefined) {
-    return await (fault.leave === true ? daemon.leave() : daemon.kill());
+    return await (fault.leave === true ? daemon.shutDown() : daemon.kill());
   }
   const engine = deployment?.standins.engines.get(target);
   if (engine !== undefined && fault.die === true) return await engine.die();
@@ -127,21 +135,23 @@
   await body.text();
 }
 
-function readFacts(
+function readStandinFacts(
   deployment: RunningDeployment,
   scenario: Scenario,
 ): StandinFacts {
   const engines = [...deployment.standins.engines.entries()];
-  const isOld = new Set(
+  const oldEngineNames = new Set(
     deployment.resources.filter(({ spec }) =>
-      spec.pricePerSecond === PRICES.old
+      spec.pricePerSecond === PRICES_PER_SECOND.old
     )
       .map(({ name }) => name),
   );
   const cost = engines.reduce(
     (sum, [name, { core }]) =>
       sum +
-      core.counts.busyMs / 1_000 * (isOld.has(name) ? PRICES.old : PRICES.new),
+      core.counts.busyMs / 1_000 * (oldEngineNames.has(name)
+          ? PRICES_PER_SECOND.old
+          : PRICES_PER_SECOND.new),
     0,
   );
   const lookups = engines.reduce(
@@ -152,20 +162,27 @@
     (sum, [, { core }]) => sum + core.counts.cacheHits,
     0,
   );
-  const bodies = [...deployment.standins.plainServers.values()]
+  const runBodies = [...deployment.standins.plainServers.values()]
     .flatMap(({ runs }) =>
       runs.filter(({ method }) => method === "POST").map(({ body }) => body)
     );
-  const hasRuns = scenario.mix.some(({ kind }) => kind === "non-idempotent");
+  const hasNonIdempotentCalls = scenario.mix.some(({ kind }) =>
+    kind === "non-idempotent"
+  );
   return {
     cost,
     cacheHitShare: lookups === 0 ? 0 : hits / lookups,
-    ...(hasRuns ? { ranTwice: bodies.length - new Set(bodies).size } : {}),
+    ...(hasNonIdempotentCalls
+      ? { ranTwice: runBodies.length - new Set(runBodies).size }
+      : {}),
   };
 }
 
 function formatReport(report: LoadReport): string {
-  const row = (name: string, { p50, p95, p99, p999 }: Quantiles) => [
+  const formatQuantiles = (
+    name: string,
+    { p50, p95, p99, p999 }: Quantiles,
+  ) => [
     name,
     ...[p50, p95, p99, p999].map((value) => value.toFixed(1)),
   ];
@@ -177,21 +194,21 @@
       report.goodput.toFixed(1)
     } a second`,
     formatTable(["MS", "P50", "P95", "P99", "P99.9"], [
-      row("first token", report.firstToken),
-      row("total", report.total),
-      row("between tokens", report.betweenTokens),
+      formatQuantiles("first token", report.firstToken),
+      formatQuantiles("total", report.total),
+      formatQuantiles("between tokens", report.betweenTokens),
     ]),
     `away ${
       (report.awayShare * 100).toFixed(1)
     }%, not whole ${report.notWhole}, ` +
-    `ran twice ${report.ranTwice ?? "not asked"}, ` +
-    `cost ${report.cost?.toFixed(1) ?? "not asked"}, ` +
-    `cache hits ${report.cacheHitShare?.toFixed(2) ?? "not asked"}`,
+    `ran twice ${report.ranTwice ?? "not measured"}, ` +
+    `cost ${report.cost?.toFixed(1) ?? "not measured"}, ` +
+    `cache hits ${report.cacheHitShare?.toFixed(2) ?? "not measured"}`,
     `codes: ${refusals.join(", ") || "none"}`,
   ].join("\n");
 }
 
-function createPage(title: string, report: LoadReport): string {
+function createReportPage(title: string, report: LoadReport): string {
   const x = report.series.map(([second]) => second);
   return createPlotPage(title, [
     {
@@ -219,7 +236,7 @@
 }
 
 function compareReports(files: readonly string[]): void {
-  if (files.length !== 2) fail("Cannot compare: two files are needed");
+  if (files.length !== 2) fail("Cannot compare: wanted two report files");
   const [before, after] = files.map((file) =>
     JSON.parse(readFileSync(file, "utf8")) as LoadReport
   ) as [LoadReport, LoadReport];
--- a/bin/havenspur_platform.ts
+++ b/bin/havenspur_platform.ts
@@ -2,7 +2,7 @@
 import { checkSettings, runInstance } from "../platform/run_instance.ts";
 import { EXIT_CODES } from "./exit_codes.ts";
 
-// Two words need no argument parser, which a start on a small machine would pay for.
+// For two arguments, loading an argument parser would only slow down the start on a small machine.
 const [option, path] = process.argv.slice(2);
 if (option === "--check-settings") {
   process.exitCode = checkSettings(path) ? EXIT_CODES.OK : EXIT_CODES.USAGE;
--- a/bin/havenspur_soak.ts
+++ b/bin/havenspur_soak.ts
@@ -13,36 +13,36 @@
   readonly instances: number;
 }
 
-/** Seeds drawn by `--fresh` are below this, so that they are easy to name. */
-const FRESH_SEEDS = 1_000_000;
+/** Upper limit of the seeds that `--fresh` draws, so that they are short to write down. */
+const FRESH_SEED_LIMIT = 1_000_000;
 
 const options = new Command("havenspur-soak")
   .description(
-    "Disturbs real processes by a seeded plan and checks the promises",
+    "Injects faults into real processes by a seeded plan and checks the promises",
   )
   .option("--seed <number>", "seed of the plan", parseNumber, 1)
   .option("--seeds <A..B>", "all seeds from A to B", parseSeeds)
-  .option("--fresh", "begin at a seed drawn now")
+  .option("--fresh", "start with a random seed")
   .option(
     "--minutes <number>",
-    "go on with the next seeds so long",
+    "continue with the following seeds for this long",
     parseNumber,
   )
   .option(
     "--seconds <number>",
-    "length of the traffic of a run",
+    "duration of the traffic of a run",
     parseNumber,
     25,
   )
-  .option("--instances <number>", "instances a region", parseNumber, 2)
+  .option("--instances <number>", "instances per region", parseNumber, 2)
   .parse().opts<Options>();
 
 const program = buildProgram();
 const startMs = Date.now();
-let hasBroken = false;
+let hasViolations = false;
 try {
   for (const seed of listSeeds(options)) {
-    if (options.minutes !== undefined && isOver(options.minutes)) break;
+    if (options.minutes !== undefined && isTimeUp(options.minutes)) break;
     console.log(`seed ${seed}`);
     const report = await runSoak({
       program,
@@ -52,14 +52,14 @@
       print: (line) => console.log(`  ${line}`),
     });
     printReport(report);
-    hasBroken ||= report.violations.length > 0;
+    hasViolations ||= report.violations.length > 0;
   }
 } finally {
   rmSync(dirname(program), { recursive: true, force: true });
 }
-process.exitCode = hasBroken ? 1 : 0;
+process.exitCode = hasViolations ? 1 : 0;
 
-function isOver(minutes: number): boolean {
+function isTimeUp(minutes: number): boolean {
   return Date.now() - startMs > 60_000 * minutes;
 }
 
@@ -67,7 +67,7 @@
   { fresh, minutes, seed, seeds }: Options,
 ): Generator<number> {
   if (seeds !== undefined) return yield* seeds;
-  const first = fresh ? Math.floor(Math.random() * FRESH_SEEDS) : seed;
+  const first = fresh ? Math.floor(Math.random() * FRESH_SEED_LIMIT) : seed;
   yield first;
   for (let next = first + 1; minutes !== undefined; next++) yield next;
 }
--- a/bin/havenspur_standin.ts
+++ b/bin/havenspur_standin.ts
@@ -5,7 +5,7 @@
 
 const program = new Command("havenspur-standin")
   .description(
-    "Stand-ins for the platform, the engines and the plain services, on loopback.",
+    "Runs stand-ins for the platform, the engines and the plain services, on loopback.",
   )
   .version("0.1.0")
   .argument("<file>", "TOML file that describes them")
@@ -16,8 +16,8 @@
 Example:
   havenspur-standin examples/torra-nordeste/standins.toml
 
-Faults are set while it runs: POST /control/faults at the platform, an engine or
-a plain server, such as {"isDown":true}, {"acceptThenDie":true}, {"loseAnswers":1}.`,
+Set faults while the stand-ins run: POST /control/faults at the platform, an engine or
+a plain server, for example {"isDown":true}, {"acceptThenDie":true}, {"loseAnswers":1}.`,
   );
 program.exitOverride((error) => {
   process.exit(error.exitCode === 0 ? EXIT_CODES.OK : EXIT_CODES.USAGE);
--- a/bin/havenspurctl.ts
+++ b/bin/havenspurctl.ts
@@ -57,7 +57,7 @@
 type Outcome = Result<unknown, OperatorFailure>;
 
 const WAIT_INTERVAL_MS = 200;
-/** File descriptor of the standard input. */
+/** File descriptor of standard input. */
 const STANDARD_INPUT = 0;
 const KINDS =
   "service, plain-service, model, adapter, version, residency, placement, team, " +
@@ -68,12 +68,12 @@
   .version("0.1.0")
   .option(
     "-s, --server <urls>",
-    "base URLs of daemons, with commas between",
+    "base URLs of daemons, separated by commas",
     readDefaultServer(),
   )
   .option(
     "-t, --token <token>",
-    "operators' token",
+    "operator token",
     process.env.HAVENSPUR_TOKEN ?? "",
   )
   .option("-o, --output <format>", "table or json", "table")
@@ -103,8 +103,8 @@
   .requiredOption("-f, --file <file>", "TOML file with [[resource]] tables")
   .option("--dry-run", "only check them", false)
   .option("--wait [ms]", "wait until every region reports them in force")
-  .action(run(async (client, options) => {
-    const resources = readFile(String(options.file));
+  .action(createAction(async (client, options) => {
+    const resources = readDeclaredResources(String(options.file));
     if (resources.isErr()) return err(resources.error);
     const query = options.dryRun === true ? "?dry-run=true" : "";
     const applied = await client.call<{ readonly sequence: number }>(
@@ -114,22 +114,26 @@
     );
     if (applied.isErr() || options.wait === undefined) return applied;
     const waitMs = options.wait === true ? 10_000 : Number(options.wait);
-    return await waitInForce(client, applied.value.sequence, waitMs);
+    return await waitUntilInForce(client, applied.value.sequence, waitMs);
   }));
 
 program.command("get")
   .description("Lists the resources of a kind, or shows one.")
   .argument("<kind>")
   .argument("[name]")
-  .action(run(async (client, _options, kind, name) => {
+  .action(createAction(async (client, _options, kind, name) => {
     const found = await readItems(client, kind!, name);
     return found.map((items) =>
-      withTable(items, ["NAME", "VERSION", "SPEC", "STATUS"], (item) => [
-        item.name,
-        String(item.version),
-        summarize(item.spec),
-        summarize(item.status),
-      ])
+      createTableOutput(
+        items,
+        ["NAME", "VERSION", "SPEC", "STATUS"],
+        (item) => [
+          item.name,
+          String(item.version),
+          formatFields(item.spec),
+          formatFields(item.status),
+        ],
+      )
     );
   }));
 
@@ -138,7 +142,7 @@
   .argument("<kind>")
   .argument("<name>")
   .action(
-    run((client, _options, kind, name) =>
+    createAction((client, _options, kind, name) =>
       client.call("GET", `/api/v1/resources/${kind}/${name}`)
     ),
   );
@@ -148,7 +152,7 @@
   .argument("<kind>")
   .argument("<name>")
   .option("--if-version <version>", "only if this version is in force")
-  .action(run((client, options, kind, name) => {
+  .action(createAction((client, options, kind, name) => {
     const query = options.ifVersion === undefined
       ? ""
       : `?version=${options.ifVersion}`;
@@ -158,8 +162,8 @@
 program.command("diff")
   .description("Shows what applying a file would change.")
   .requiredOption("-f, --file <file>", "TOML file with [[resource]] tables")
-  .action(run(async (client, options) => {
-    const resources = readFile(String(options.file));
+  .action(createAction(async (client, options) => {
+    const resources = readDeclaredResources(String(options.file));
     if (resources.isErr()) return err(resources.error);
     const checked = await client.call<
       { readonly changes: readonly DeclaredResource[] }
@@ -180,7 +184,7 @@
     }
     if (rows.length > 0) process.exitCode = EXIT_CODES.DIFFERS;
     return ok(
-      withTable(
+      createTableOutput(
         rows,
         ["RESOURCE", "CHANGE"],
         (row) => [row.resource, row.change],
@@ -191,7 +195,7 @@
 program.command("watch")
   .description("Shows changes as they come into force.")
   .option("--after <sequence>", "start after this change", "0")
-  .action(run(async (client, options) => {
+  .action(createAction(async (client, options) => {
     await client.follow(
       `/api/v1/watch?after=${options.after}`,
       (data) => console.log(data),
@@ -201,7 +205,7 @@
 
 program.command("status")
   .description("Shows what is in force in which region, what is not, and why.")
-  .action(run(async (client) => {
+  .action(createAction(async (client) => {
     const status = await client.call<StatusAnswer>("GET", "/api/v1/status");
     return status.map((answer) => ({
       toJson: answer,
@@ -212,7 +216,7 @@
 program.command("audit")
   .description("Shows who changed what, and when.")
   .option("--after <sequence>", "start after this change", "0")
-  .action(run(async (client, options) => {
+  .action(createAction(async (client, options) => {
     const audit = await client.call<{
       readonly items: readonly AuditEntry[];
       readonly is_complete: boolean;
@@ -223,7 +227,7 @@
           "The store cannot be reached: only recent changes follow",
         );
       }
-      return withTable(items, [
+      return createTableOutput(items, [
         "SEQUENCE",
         "TIME",
         "OPERATOR",
@@ -248,7 +252,7 @@
   )
   .argument("<what>", "engine, plain-server or instance")
   .argument("[name]", "name of the engine or plain server")
-  .action(run(async (client, _options, what, name) => {
+  .action(createAction(async (client, _options, what, name) => {
     if (what === "instance") return await client.call("POST", "/api/v1/drain");
     const found = await readItems(client, what!, name);
     if (found.isErr()) return err(found.error);
@@ -260,7 +264,7 @@
 
 program.command("entries")
   .description("Shows the entries for a caller; takes the caller's token.")
-  .action(run(async (client) => {
+  .action(createAction(async (client) => {
     const list = await client.call<{
       readonly entries: readonly {
         readonly url: string;
@@ -268,20 +272,24 @@
       }[];
     }>("GET", "/v1/entries");
     return list.map(({ entries }) =>
-      withTable(entries, ["URL", "REGION"], ({ url, region }) => [url, region])
+      createTableOutput(
+        entries,
+        ["URL", "REGION"],
+        ({ url, region }) => [url, region],
+      )
     );
   }));
 
 program.command("usage")
   .description("Shows what each team used, for charging.")
-  .action(run(async (client) => {
+  .action(createAction(async (client) => {
     const usage = await client.call<{
       readonly teams: Readonly<
         Record<string, { readonly requests: number; readonly tokens: number }>
       >;
     }>("GET", "/api/v1/usage");
     return usage.map(({ teams }) =>
-      withTable(
+      createTableOutput(
         Object.entries(teams),
         ["TEAM", "REQUESTS", "TOKENS"],
         ([team, counters]) => [
@@ -295,12 +303,12 @@
 
 program.command("explain")
   .description(
-    "Shows from logs what became of a call, and what its instances had learned.",
+    "Shows from logs what happened to a call, and what its instances had learned.",
   )
   .argument("<call>", "the caller's id of the call")
   .option(
     "-l, --log <file>",
-    "file with log lines; - is the standard input",
+    "file with log lines; - for standard input",
     "-",
   )
   .action((call: string, options: { readonly log: string }) => {
@@ -321,7 +329,7 @@
   .description("Sets the level of the log of the daemon at --server.")
   .argument("<level>", "trace, debug, info, warn, error or silent")
   .action(
-    run((client, _options, level) =>
+    createAction((client, _options, level) =>
       client.call("PUT", "/api/v1/log-level", { level })
     ),
   );
@@ -331,13 +339,13 @@
 });
 await program.parseAsync();
 
-/** Something that is shown as a table or as JSON. */
-interface Shown {
+/** Output that can be printed as text or as JSON. */
+interface Printable {
   readonly toJson: unknown;
   readonly toText: string;
 }
 
-function run(
+function createAction(
   action: (
     client: OperatorClient,
     options: Readonly<Record<string, unknown>>,
@@ -355,26 +363,26 @@
     });
     const names = command.args as (string | undefined)[];
     const result = await action(client, command.opts(), ...names);
-    if (result.isOk()) return show(result.value, globals.output);
+    if (result.isOk()) return printOutcome(result.value, globals.output);
     console.error(result.error.message);
     process.exitCode = result.error.exitCode;
   };
 }
 
-function show(value: unknown, format: string): void {
+function printOutcome(value: unknown, format: string): void {
   if (value === undefined) return;
-  const isShown = typeof value === "object" && value !== null &&
+  const isPrintable = typeof value === "object" && value !== null &&
     "toText" in value;
-  if (!isShown) return console.log(JSON.stringify(value, null, 2));
-  const { toJson, toText } = value as Shown;
+  if (!isPrintable) return console.log(JSON.stringify(value, null, 2));
+  const { toJson, toText } = value as Printable;
   console.log(format === "json" ? JSON.stringify(toJson, null, 2) : toText);
 }
 
-function withTable<T>(
+function createTableOutput<T>(
   rows: readonly T[],
   head: readonly string[],
   toCells: (row: T) => readonly string[],
-): Shown {
+): Printable {
   return { toJson: rows, toText: formatTable(head, rows.map(toCells)) };
 }
 
@@ -397,7 +405,7 @@
   return list.map(({ items }) => items);
 }
 
-async function waitInForce(
+async function waitUntilInForce(
   client: OperatorClient,
   sequence: number,
   waitMs: number,
@@ -406,11 +414,11 @@
   for (let waitedMs = 0; waitedMs <= waitMs; waitedMs += WAIT_INTERVAL_MS) {
     const status = await client.call<StatusAnswer>("GET", "/api/v1/status");
     if (status.isErr()) return status;
-    const behind = status.value.regions.filter(({ in_force }) =>
+    const regionsBehind = status.value.regions.filter(({ in_force }) =>
       in_force < sequence
     );
     missing = [
-      ...behind.map(({ region }) => region),
+      ...regionsBehind.map(({ region }) => region),
       ...status.value.silent_regions,
     ];
     if (missing.length === 0) return ok({ sequence, in_force: "everywhere" });
@@ -422,7 +430,7 @@
   return err({ exitCode: EXIT_CODES.NOT_IN_FORCE, message });
 }
 
-function readFile(
+function readDeclaredResources(
   path: string,
 ): Result<readonly DeclaredResource[], OperatorFailure> {
   try {
@@ -438,13 +446,17 @@
 function describeChange(before: unknown, after: unknown): string | undefined {
   if (before === undefined) return "new";
   if (isDeepStrictEqual(before, after)) return undefined;
-  const fields = before as Record<string, unknown>;
-  const wanted = after as Record<string, unknown>;
-  return [...new Set([...Object.keys(fields), ...Object.keys(wanted)])]
-    .filter((field) => !isDeepStrictEqual(fields[field], wanted[field]))
+  const currentFields = before as Record<string, unknown>;
+  const declaredFields = after as Record<string, unknown>;
+  return [
+    ...new Set([...Object.keys(currentFields), ...Object.keys(declaredFields)]),
+  ]
+    .filter((field) =>
+      !isDeepStrictEqual(currentFields[field], declaredFields[field])
+    )
     .map((field) =>
-      `${field}: ${JSON.stringify(fields[field])} -> ${
-        JSON.stringify(wanted[field])
+      `${field}: ${JSON.stringify(currentFields[field])} -> ${
+        JSON.stringify(declaredFields[field])
       }`
     ).join("; ");
 }
@@ -463,30 +475,32 @@
       : "ok",
     `${age_ms} ms`,
   ]);
-  const silent = status.silent_regions.map((
+  const silentRegions = status.silent_regions.map((
     region,
   ) => [region, "?", "?", "not heard", "-"]);
   const notLive = status.members.filter((member) => member.status !== "live")
     .map((member) => [String(member.id), String(member.status)]);
-  const notUsed = status.engines.filter((engine) => engine.state !== "in use")
+  const enginesNotInUse = status.engines.filter((engine) =>
+    engine.state !== "in use"
+  )
     .map((engine) => [String(engine.id), String(engine.state)]);
   return [
     `${status.instance}: change ${status.sequence} in force, ${status.in_flight} in flight, ` +
     `store ${status.store_reachable ? "reachable" : "NOT REACHABLE"}`,
     formatTable(["REGION", "IN FORCE", "LIVE", "STATE", "AGE"], [
       ...regions,
-      ...silent,
+      ...silentRegions,
     ]),
     ...(notLive.length === 0
       ? []
       : [formatTable(["INSTANCE", "STATE"], notLive)]),
-    ...(notUsed.length === 0
+    ...(enginesNotInUse.length === 0
       ? []
-      : [formatTable(["ENGINE", "STATE"], notUsed)]),
+      : [formatTable(["ENGINE", "STATE"], enginesNotInUse)]),
   ].join("\n");
 }
 
-function summarize(fields: Readonly<Record<string, unknown>>): string {
+function formatFields(fields: Readonly<Record<string, unknown>>): string {
   return Object.entries(fields)
     .filter(([name]) => name !== "tokenHashes")
     .map(([name, value]) =>
--- a/bin/havenspurd.ts
+++ b/bin/havenspurd.ts
@@ -10,10 +10,10 @@
 import { startDaemon } from "./start_daemon.ts";
 
 const program = new Command("havenspurd")
-  .description("One daemon of havenspur.")
+  .description("Runs one daemon of havenspur.")
   .version("0.1.0")
-  .requiredOption("--settings <file>", "settings in TOML")
-  .option("--check-settings", "check the settings and end", false)
+  .requiredOption("--settings <file>", "settings file in TOML")
+  .option("--check-settings", "check the settings and exit", false)
   .showHelpAfterError()
   .addHelpText(
     "after",
@@ -22,7 +22,7 @@
   havenspurd --settings examples/torra-nordeste/daemons/recife-a-i1.toml
   havenspurd --settings daemon.toml --check-settings
 
-Signals: SIGTERM and SIGINT leave gracefully, SIGHUP reads the certificates again.
+Signals: SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the certificates.
 Exit codes: 0 ended, 2 wrong settings`,
   );
 program.exitOverride((error) => {
@@ -39,15 +39,15 @@
   process.exit(EXIT_CODES.OK);
 }
 const daemon = await startDaemon(settings);
-let isLeaving = false;
-const leave = async () => {
-  if (isLeaving) return;
-  isLeaving = true;
-  await daemon.leave();
+let isShuttingDown = false;
+const shutDown = async () => {
+  if (isShuttingDown) return;
+  isShuttingDown = true;
+  await daemon.shutDown();
   process.exit(EXIT_CODES.OK);
 };
-process.on("SIGTERM", () => void leave());
-process.on("SIGINT", () => void leave());
+process.on("SIGTERM", () => void shutDown());
+process.on("SIGINT", () => void shutDown());
 process.on("SIGHUP", () => daemon.reloadTls());
 
 function readSettings(path: string) {
--- a/bin/operator_client.ts
+++ b/bin/operator_client.ts
@@ -3,43 +3,46 @@
 import { RESULT_CODES } from "../results/mod.ts";
 import { EXIT_CODES } from "./exit_codes.ts";
 
-/** Why a call of an operator failed. */
+/** Failure of a request to the resource API. */
 export interface OperatorFailure {
+  /** One of `EXIT_CODES`. */
   readonly exitCode: number;
   readonly message: string;
 }
 
 /** What the client is created from. */
 export interface OperatorClientParts {
-  /** Base URLs of daemons; the first that answers is used. */
+  /** Base URLs of daemons, tried in this order until one answers. */
   readonly servers: readonly string[];
   readonly token: string;
 }
 
 const TIMEOUT_MS = 10_000;
 
-/** Speaks to the resource API. */
+/** Client of the resource API. */
 export class OperatorClient {
   readonly #parts: OperatorClientParts;
 
-  /** @param parts Servers and token. */
+  /** @param parts Base URLs and token. */
   constructor(parts: OperatorClientParts) {
     this.#parts = parts;
   }
 
   /**
-   * Calls the API.
+   * Makes one request. The next daemon is tried only if the request was not sent
+   * (connection refused) or is a GET, so that no change is applied twice.
    *
    * @param method HTTP method.
    * @param path Path with query.
    * @param body Sent as JSON. Default: none.
+   * @returns The parsed answer, or the failure.
    */
   async call<T>(
     method: "GET" | "PUT" | "POST" | "DELETE",
     path: string,
     body?: unknown,
   ): Promise<Result<T, OperatorFailure>> {
-    let last = "no server was given";
+    let lastError = "no server was given";
     for (const server of this.#parts.servers) {
       try {
         const response = await request(server + path, {
@@ -55,7 +58,7 @@
         if (response.statusCode < 300) return ok(JSON.parse(text) as T);
         return err(toFailure(response.statusCode, text));
       } catch (error) {
-        last = `${server}: ${(error as Error).message}`;
+        lastError = `${server}: ${(error as Error).message}`;
         const isNotSent =
           (error as NodeJS.ErrnoException).code === "ECONNREFUSED";
         if (!isNotSent && method !== "GET") break;
@@ -63,11 +66,11 @@
     }
     return err({
       exitCode: EXIT_CODES.UNREACHABLE,
-      message: `Cannot reach a daemon: ${last}`,
+      message: `Cannot reach a daemon: ${lastError}`,
     });
   }
 
-  /** Calls back for each event of a stream, until it ends. */
+  /** Calls back with the data of each event of a stream until the stream ends. */
   async follow(path: string, onData: (data: string) => void): Promise<void> {
     const response = await request(this.#parts.servers[0]! + path, {
       headers: { authorization: `Bearer ${this.#parts.token}` },
--- a/bin/start_daemon.ts
+++ b/bin/start_daemon.ts
@@ -31,50 +31,53 @@
   startHttpGateway,
 } from "./start_http_gateway.ts";
 
-/** Optional parts of a start. */
+/** Options of `startDaemon`. */
 export interface StartDaemonOptions {
-  /** Takes each line of the log. Default: standard output. */
+  /** Receives each log line. Default: writes to standard output. */
   readonly writeLog?: (line: string) => void;
-  /** Ends the daemon at once. Default: never. */
+  /** Stops the daemon immediately. Default: never. */
   readonly signal?: AbortSignal;
 }
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface RunningDaemon {
   readonly gateway: Gateway;
   readonly record: InstanceRecord;
-  /** The part for plain HTTP calls; `undefined`: they are not taken. */
+  /** Gateway for plain HTTP calls; `undefined` if the settings have no `http` section. */
   readonly http: RunningHttpGateway | undefined;
+  /** Bytes of heartbeats exchanged with peers. */
   readonly peerBytes: { readonly sent: number; readonly received: number };
-  /** Reads the certificates of the settings again. */
+  /** Reloads the certificates from the files that the settings name. */
   reloadTls(): void;
-  /** Leaves gracefully: cuts off nothing in flight. */
-  leave(): Promise<void>;
-  /** Ends at once, as a crash would. */
+  /** Shuts down gracefully: waits for calls in flight, at most for the drain timeout. */
+  shutDown(): Promise<void>;
+  /** Stops immediately, like a crash. */
   kill(): Promise<void>;
 }
 
 /**
- * Starts a daemon: the adapters, the listener and the controllers.
+ * Starts a daemon: its adapters, its listener and its controllers.
  *
- * @param settings Checked settings.
- * @param options Log and signal.
+ * @param settings Validated settings.
+ * @param options Log receiver and stop signal.
  */
 export async function startDaemon(
   settings: Settings,
   options: StartDaemonOptions = {},
 ): Promise<RunningDaemon> {
-  const ended = new AbortController();
+  const stopped = new AbortController();
   const signal = options.signal === undefined
-    ? ended.signal
-    : AbortSignal.any([ended.signal, options.signal]);
+    ? stopped.signal
+    : AbortSignal.any([stopped.signal, options.signal]);
   const logger = createDaemonLogger(settings, options);
   const metrics = settings.metrics.statsd === undefined
     ? NO_METRICS
     : createStatsdMetrics(settings.metrics.statsd, signal);
   const tls = settings.tls && readTls(settings.tls);
-  const serving: { handle: (request: GatewayRequest) => Promise<Reply> } = {
-    handle: () => Promise.resolve(createNotReady()),
+  const requestHandler: {
+    handle: (request: GatewayRequest) => Promise<Reply>;
+  } = {
+    handle: () => Promise.resolve(createNotReadyReply()),
   };
   const listener = await startListener({
     address: settings.listen.address,
@@ -84,7 +87,7 @@
       bodyTimeoutMs: settings.limits.body_timeout_ms,
       idleTimeoutMs: settings.limits.idle_timeout_ms,
     },
-    handle: (request) => serving.handle(request),
+    handle: (request) => requestHandler.handle(request),
     tls,
   });
   const record = createRecord(settings, listener.port);
@@ -117,11 +120,11 @@
     { logger, metrics },
   );
   await transport.open((heartbeat) => gateway.receiveHeartbeat(heartbeat));
-  serving.handle = createHandler(gateway);
+  requestHandler.handle = createHandler(gateway);
   gateway.start(signal);
   logger.info("listening", { address: record.callerUrl });
   const close = async (closeListener: () => Promise<void>) => {
-    ended.abort();
+    stopped.abort();
     await Promise.all([
       closeListener(),
       transport.close(),
@@ -135,16 +138,16 @@
     http: httpGateway,
     peerBytes: transport.bytes,
     reloadTls: () => reloadTls(settings, listener, logger),
-    leave: async () => {
-      const patience = new AbortController();
+    shutDown: async () => {
+      const drainTimeout = new AbortController();
       systemClock.schedule(
         settings.limits.drain_timeout_ms,
-        () => patience.abort(),
+        () => drainTimeout.abort(),
         signal,
       );
       await Promise.all([
-        gateway.leave(patience.signal),
-        httpGateway?.leave(settings.limits.drain_timeout_ms),
+        gateway.leave(drainTimeout.signal),
+        httpGateway?.shutDown(settings.limits.drain_timeout_ms),
       ]);
       await close(() => listener.close());
     },
@@ -157,7 +160,7 @@
 
 function createGateway(
   settings: Settings,
-  made: {
+  parts: {
     readonly record: InstanceRecord;
     readonly transport: PeerTransport;
     readonly store: EtcdStore;
@@ -169,14 +172,14 @@
   return new Gateway({
     clock: systemClock,
     random: createSystemRandom(),
-    store: made.store,
+    store: parts.store,
     instances: createHttpInstanceList(settings.platform.instances_url),
     directory: createHttpDirectory(settings.platform.directory_url),
-    backend: made.backend,
-    peers: made.transport,
-    logger: made.logger,
-    metrics: made.metrics,
-    self: made.record,
+    backend: parts.backend,
+    peers: parts.transport,
+    logger: parts.logger,
+    metrics: parts.metrics,
+    self: parts.record,
     options: {
       operatorTokenHash: settings.tokens.operator_hash,
       peerToken: settings.tokens.peer,
@@ -190,7 +193,7 @@
   });
 }
 
-/** Requests to the path of peers are JSON-RPC; all others go to the filters. */
+/** Returns a handler that answers peers by JSON-RPC and passes all other requests to the filters. */
 function createHandler(
   gateway: Gateway,
 ): (request: GatewayRequest) => Promise<Reply> {
@@ -215,7 +218,7 @@
   };
 }
 
-function createNotReady(): Reply {
+function createNotReadyReply(): Reply {
   return toRefusal(createFailure("NOT_READY", "This instance is starting"));
 }
 
--- a/bin/start_deployment.ts
+++ b/bin/start_deployment.ts
@@ -43,7 +43,7 @@
   })).default([]),
 });
 
-/** Stand-ins of a deployment that run. */
+/** Running stand-ins of a deployment. */
 export interface RunningStandins {
   readonly platform: PlatformServer;
   readonly engines: ReadonlyMap<string, EngineServer>;
@@ -51,31 +51,31 @@
   stop(): Promise<void>;
 }
 
-/** One resource as a file declares it. */
+/** One resource as declared in a file. */
 export interface DeclaredResource {
   readonly kind: string;
   readonly name: string;
   readonly spec: Record<string, unknown>;
 }
 
-/** A deployment that runs in one process. */
+/** A deployment running in one process. */
 export interface RunningDeployment {
   readonly standins: RunningStandins;
   readonly daemons: readonly RunningDaemon[];
-  /** Resources, with the addresses of the stand-ins. */
+  /** Resources of the deployment, with the URLs of the running stand-ins. */
   readonly resources: readonly DeclaredResource[];
-  /** Tells the platform's list which instances there are. */
-  listInstances(daemons: readonly RunningDaemon[]): void;
-  /** Starts one of its daemons again. */
+  /** Sets the instance list of the stand-in platform. */
+  registerInstances(daemons: readonly RunningDaemon[]): void;
+  /** Starts the daemon with the given instance id again. */
   restart(id: string): Promise<RunningDaemon>;
   stop(): Promise<void>;
 }
 
-/** Optional parts of a deployment. */
+/** Options of `startDeployment`. */
 export interface DeploymentOptions {
-  /** Takes the logs of the daemons. Default: dropped. */
+  /** Receives the log lines of the daemons. Default: discards them. */
   readonly writeLog?: (line: string) => void;
-  /** Whether the ports of the files are used; else free ones. Default: `false`. */
+  /** Whether to use the ports of the files instead of free ones. Default: `false`. */
   readonly usesFilePorts?: boolean;
 }
 
@@ -90,8 +90,8 @@
 /**
  * Reads the resources that a TOML file declares.
  *
- * @param path The file.
- * @throws {Error} If the file does not hold resources.
+ * @param path Path of the file.
+ * @throws {Error} If the file does not declare valid resources.
  */
 export function readResourceFile(path: string): readonly DeclaredResource[] {
   const parsed = resourcesSchema.safeParse(parse(readFileSync(path, "utf8")));
@@ -105,18 +105,18 @@
 /**
  * Starts the stand-ins that a file describes.
  *
- * @param path The file.
- * @param usesFilePorts Whether its ports are used; else free ones.
+ * @param path Path of the TOML file.
+ * @param usesFilePorts Whether to use the ports of the file instead of free ones.
  */
 export async function startStandins(
   path: string,
   usesFilePorts: boolean,
 ): Promise<RunningStandins> {
-  const described = STANDINS_SCHEMA.parse(parse(readFileSync(path, "utf8")));
+  const description = STANDINS_SCHEMA.parse(parse(readFileSync(path, "utf8")));
   const toPort = (port: number) => usesFilePorts ? port : 0;
   const platform = new PlatformServer(systemClock);
-  await platform.start(toPort(described.platform.port));
-  const engines = new Map(described.engine.map((engine) => [
+  await platform.start(toPort(description.platform.port));
+  const engines = new Map(description.engine.map((engine) => [
     engine.name,
     new EngineServer({
       clock: systemClock,
@@ -126,17 +126,17 @@
       port: toPort(engine.port),
     }),
   ]));
-  const plainServers = new Map(described.plain_server.map((server) => [
+  const plainServers = new Map(description.plain_server.map((server) => [
     server.name,
     new PlainServer(systemClock, server.region),
   ]));
   await Promise.all([...engines.values()].map((engine) => engine.start()));
   await Promise.all(
-    described.plain_server.map(({ name, port }) =>
+    description.plain_server.map(({ name, port }) =>
       plainServers.get(name)!.start(toPort(port))
     ),
   );
-  platform.setInstances(described.instance.map((instance) => ({
+  platform.setInstances(description.instance.map((instance) => ({
     id: instance.id,
     region: instance.region,
     failure_domain: instance.failure_domain,
@@ -161,7 +161,7 @@
 }
 
 /**
- * Starts stand-ins and all daemons of a deployment in this process.
+ * Starts the stand-ins and all daemons of a deployment in this process.
  *
  * @param directory Folder with `standins.toml`, `resources.toml` and `daemons/`.
  * @param options Logs and ports.
@@ -178,20 +178,20 @@
   );
   const { platform } = standins;
   const files = readdirSync(join(directory, "daemons")).sort();
-  const read = files.map((file) =>
+  const fileSettings = files.map((file) =>
     readSettingsFile(join(directory, "daemons", file))
   );
   const settings = usesFilePorts
-    ? read
-    : read.map((each) => withFreePort(each, platform.url));
+    ? fileSettings
+    : fileSettings.map((each) => useFreePorts(each, platform.url));
   const running = new Map<string, RunningDaemon>();
-  const start = async (each: Settings) => {
+  const startInstance = async (each: Settings) => {
     const daemon = await startDaemon(each, { writeLog });
     running.set(each.instance.id, daemon);
     return daemon;
   };
-  await Promise.all(settings.map(start));
-  const listInstances = (daemons: readonly RunningDaemon[]) =>
+  await Promise.all(settings.map(startInstance));
+  const registerInstances = (daemons: readonly RunningDaemon[]) =>
     platform.setInstances(daemons.map(({ record }) => ({
       id: record.id,
       region: record.region,
@@ -201,19 +201,21 @@
       state: "live",
     })));
   const daemons = settings.map(({ instance }) => running.get(instance.id)!);
-  listInstances(daemons);
-  shareSeeds(daemons);
+  registerInstances(daemons);
+  exchangeSeedAddresses(daemons);
   return {
     standins,
     daemons,
     resources: readResourceFile(join(directory, "resources.toml"))
-      .map((resource) => withStandinUrl(standins, resource)),
-    listInstances,
+      .map((resource) => useStandinUrl(standins, resource)),
+    registerInstances,
     restart: async (id) => {
-      const known = settings.find(({ instance }) => instance.id === id)!;
-      const daemon = await start(known);
-      listInstances([...running.values()]);
-      shareSeeds([...running.values()]);
+      const instanceSettings = settings.find(({ instance }) =>
+        instance.id === id
+      )!;
+      const daemon = await startInstance(instanceSettings);
+      registerInstances([...running.values()]);
+      exchangeSeedAddresses([...running.values()]);
       return daemon;
     },
     stop: async () => {
@@ -226,10 +228,10 @@
 }
 
 /**
- * Reads and checks the settings of a daemon.
+ * Reads and validates the settings of a daemon.
  *
- * @param path The file.
- * @throws {Error} With all problems, if there are any.
+ * @param path Path of the file.
+ * @throws {Error} If the settings are invalid; the message lists all problems.
  */
 export function readSettingsFile(path: string): Settings {
   const parsed = parseSettings(readFileSync(path, "utf8"), SETTINGS_SCHEMA);
@@ -239,7 +241,7 @@
   );
 }
 
-function withFreePort(settings: Settings, platformUrl: string): Settings {
+function useFreePorts(settings: Settings, platformUrl: string): Settings {
   return {
     ...settings,
     http: settings.http && {
@@ -257,13 +259,13 @@
   };
 }
 
-/** Each instance is told of the others, as the files do. */
-function shareSeeds(daemons: readonly RunningDaemon[]): void {
+/** Gives each daemon the peer addresses of all, in place of the seeds in the settings files. */
+function exchangeSeedAddresses(daemons: readonly RunningDaemon[]): void {
   const seeds = daemons.flatMap(({ http }) => http?.peerAddress ?? []);
   daemons.forEach(({ http }) => http?.setSeeds(seeds));
 }
 
-function withStandinUrl(
+function useStandinUrl(
   standins: RunningStandins,
   resource: DeclaredResource,
 ): DeclaredResource {
--- a/bin/start_http_gateway.ts
+++ b/bin/start_http_gateway.ts
@@ -14,31 +14,31 @@
 import type { Metrics } from "../metrics/mod.ts";
 import type { Settings } from "../settings/mod.ts";
 
-/** Repeated sends that all instances together may make, where no operator says it. */
-const REPEAT_BOUNDS = { ratio: 0.2, slack: 50, windowMs: 10_000 };
-/** What cold servers bear beside their rate, where no operator says it. */
+/** Bounds of the retries by all instances together, unless an operator sets other ones. */
+const RETRY_BOUNDS = { ratio: 0.2, slack: 50, windowMs: 10_000 };
+/** Bounds of the calls to cold servers beyond their rate, unless an operator sets other ones. */
 const WARM_UP_BOUNDS = { overshoot: 1.5, slack: 3 };
 
-/** A daemon's part for plain HTTP calls. */
+/** Running gateway for the plain HTTP calls of a daemon. */
 export interface RunningHttpGateway {
   /** Base URL for callers. */
   readonly url: string;
-  /** Where other instances reach it. */
+  /** Address for other instances. */
   readonly peerAddress: string;
-  /** Takes the addresses of a few other instances. */
+  /** Sets the addresses of a few other instances. */
   setSeeds(addresses: readonly string[]): void;
-  /** Leaves within a time, in milliseconds. */
-  leave(graceMs: number): Promise<void>;
-  /** Ends at once. */
+  /** Shuts down gracefully within `graceMs` milliseconds. */
+  shutDown(graceMs: number): Promise<void>;
+  /** Stops immediately. */
   kill(): void;
 }
 
 /**
- * Starts the part of a daemon that passes plain HTTP calls on.
+ * Starts the gateway of a daemon that forwards plain HTTP calls.
  *
- * @param settings With the `http` section.
- * @param configuration What is in force at the daemon.
- * @param told Where decisions are told.
+ * @param settings Settings that have the `http` section.
+ * @param configuration Configuration in force at the daemon.
+ * @param outputs Log and metrics.
  */
 export async function startHttpGateway(
   settings: Settings & { readonly http: NonNullable<Settings["http"]> },
@@ -49,11 +49,11 @@
   },
 ): Promise<RunningHttpGateway> {
   const { http, instance } = settings;
-  const ended = new AbortController();
+  const stopped = new AbortController();
   const random = createSystemRandom();
   const nowMs = () => systemClock.nowMs();
   const [callerHost, callerPort] = splitAddress(http.address);
-  const [peerHost, wantedPeerPort] = splitAddress(http.peer_address);
+  const [peerHost, configuredPeerPort] = splitAddress(http.peer_address);
   const createListener = (
     host: string,
     port: number,
@@ -68,13 +68,17 @@
       refuseUnread: (head) => gateway.forwarder.refuseUnread(head),
       handle: (call, sink) => gateway.handle(call, sink),
     });
-  const peers = createListener(peerHost, wantedPeerPort, (headers) => {
-    const hop = readHop(headers);
-    return hop && { kind: "instance", hop };
-  });
-  // Opened first: the system chooses the port where the settings say 0.
-  const peerAddress = `${peerHost}:${await peers.open()}`;
-  const socket = new ReportSocket(peerAddress);
+  const peerListener = createListener(
+    peerHost,
+    configuredPeerPort,
+    (headers) => {
+      const hop = readHop(headers);
+      return hop && { kind: "instance", hop };
+    },
+  );
+  // Opened first: if the port in the settings is 0, the operating system chooses one.
+  const peerAddress = `${peerHost}:${await peerListener.open()}`;
+  const reportSocket = new ReportSocket(peerAddress);
   const gateway: HttpGateway = new HttpGateway({
     clock: systemClock,
     random,
@@ -92,37 +96,39 @@
     },
     seedAddresses: http.seeds,
     createState: (sinks) => new CatalogState(configuration, sinks, nowMs),
-    repeatBounds: REPEAT_BOUNDS,
+    repeatBounds: RETRY_BOUNDS,
     warmUpBounds: WARM_UP_BOUNDS,
-    sendReport: (...sent) => socket.send(...sent),
+    sendReport: (...sent) => reportSocket.send(...sent),
     applyLimits: () => {},
     applyAddresses: () => {},
   });
-  const callers = createListener(
+  const callerListener = createListener(
     callerHost,
     callerPort,
     () => ({ kind: "caller" }),
   );
-  const port = await callers.open();
-  await socket.open((report, from) => gateway.receiveReport(report, from));
-  gateway.start(ended.signal);
+  const port = await callerListener.open();
+  await reportSocket.open((report, from) =>
+    gateway.receiveReport(report, from)
+  );
+  gateway.start(stopped.signal);
   const kill = () => {
-    ended.abort("ended");
-    callers.destroy();
-    peers.destroy();
-    socket.close();
+    stopped.abort("ended");
+    callerListener.destroy();
+    peerListener.destroy();
+    reportSocket.close();
   };
   return {
     url: `http://${callerHost}:${port}`,
     peerAddress,
     setSeeds: (seedAddresses) =>
-      gateway.applySettings({ seedAddresses, repeatBounds: REPEAT_BOUNDS }),
-    leave: async (graceMs) => {
-      const listeners = [callers, peers];
+      gateway.applySettings({ seedAddresses, repeatBounds: RETRY_BOUNDS }),
+    shutDown: async (graceMs) => {
+      const listeners = [callerListener, peerListener];
       listeners.forEach((listener) => listener.startLeaving());
       await gateway.leave({
         graceMs,
-        countOpen: () => callers.openCount + peers.openCount,
+        countOpen: () => callerListener.openCount + peerListener.openCount,
         stopListening: () =>
           listeners.forEach((listener) => listener.closeIdle()),
       });
