--- a/spec/configuration_spec.ts
+++ b/spec/configuration_spec.ts
@@ -7,56 +7,57 @@
   type Specification,
 } from "./specification.ts";
 
-/** One daemon: the changes in force, as numbers, in order. */
-interface SpecDaemon {
+/** One instance. */
+interface SpecInstance {
+  /** Numbers of the changes in force, in order. */
   readonly applied: readonly number[];
-  /** Most changes that were ever in force since its start. */
-  readonly highest: number;
+  /** Highest number of changes in force at the same time since its start. */
+  readonly highestCount: number;
   readonly isUp: boolean;
 }
 
 interface ConfigurationSpecState {
-  /** The log in the store: the change at each place. */
+  /** Log in the store: the change at each position. */
   readonly log: readonly number[];
-  readonly daemons: readonly SpecDaemon[];
-  /** Changes that were accepted: the one that belongs at each place. */
+  readonly instances: readonly SpecInstance[];
+  /** The first change that was accepted for each position. */
   readonly accepted: readonly number[];
-  /** Entries that were sent to peers and may arrive at any time, any number of times. */
+  /** Entries that were sent to peers; each can arrive at any time, and any number of times. */
   readonly sent: readonly (readonly [sequence: number, change: number])[];
   readonly nextChange: number;
-  readonly restores: number;
-  readonly restarts: number;
+  readonly restoreCount: number;
+  readonly restartCount: number;
 }
 
 interface ConfigurationFaults {
-  readonly appliesOlder?: boolean;
+  readonly appliesStaleEntries?: boolean;
   readonly appliesAcrossGap?: boolean;
   readonly overwritesLog?: boolean;
   readonly acceptsWhileBehind?: boolean;
 }
 
-const DAEMONS = 3;
+const INSTANCE_COUNT = 3;
 const MAX_CHANGES = 3;
 
-/** Configuration revisions: two daemons, racing operators, a store that is restored. */
+/** Configuration revisions: three instances, concurrent operators and a restore of the store. */
 export const CONFIGURATION_SPEC = createConfigurationSpec({});
 
-/** Faults of configuration that must be found. */
+/** Faults of the configuration protocol; the model checker must detect each. */
 export const CONFIGURATION_MUTANTS: readonly Mutant[] = [
   {
-    name: "apply without comparing revisions",
-    specification: createConfigurationSpec({ appliesOlder: true }),
+    name: "apply an entry without comparing revisions",
+    specification: createConfigurationSpec({ appliesStaleEntries: true }),
   },
   {
-    name: "apply across a gap",
+    name: "apply an entry across a gap",
     specification: createConfigurationSpec({ appliesAcrossGap: true }),
   },
   {
-    name: "append without compare-and-swap",
+    name: "append to the log without compare-and-swap",
     specification: createConfigurationSpec({ overwritesLog: true }),
   },
   {
-    name: "accept while peers are ahead, after a restore",
+    name: "accept a change while peers are ahead, after a restore",
     specification: createConfigurationSpec({ acceptsWhileBehind: true }),
   },
 ];
@@ -68,29 +69,30 @@
     name: "configuration",
     initial: {
       log: [],
-      daemons: Array.from(
-        { length: DAEMONS },
-        () => ({ applied: [], highest: 0, isUp: true }),
+      instances: Array.from(
+        { length: INSTANCE_COUNT },
+        () => ({ applied: [], highestCount: 0, isUp: true }),
       ),
       accepted: [],
       sent: [],
       nextChange: 1,
-      restores: 0,
-      restarts: 0,
+      restoreCount: 0,
+      restartCount: 0,
     },
     listEvents: (state) => listEvents(state, faults),
     apply: (state, event) => applyEvent(state, event, faults),
     invariants: [
       {
-        text: "what is in force never reverts to something older",
-        holds: ({ daemons }) =>
-          daemons.every(({ applied, highest }) => applied.length >= highest),
+        text: "the configuration in force never reverts to an older one",
+        holds: ({ instances }) =>
+          instances.every(({ applied, highestCount }) =>
+            applied.length >= highestCount
+          ),
       },
       {
-        text:
-          "what is in force is what was accepted, at every daemon, in order",
-        holds: ({ daemons, accepted }) =>
-          daemons.every(({ applied }) =>
+        text: "every instance has the accepted changes in force, in order",
+        holds: ({ instances, accepted }) =>
+          instances.every(({ applied }) =>
             applied.every((change, index) => accepted[index] === change)
           ),
       },
@@ -102,34 +104,34 @@
   state: ConfigurationSpecState,
   faults: ConfigurationFaults,
 ): readonly SpecEvent[] {
-  const ofDaemons = state.daemons.flatMap((daemon, index) => {
-    if (!daemon.isUp) return [{ type: `start(${index})` }];
-    const newest = Math.max(
-      ...state.daemons.map(({ applied }) => applied.length),
+  const instanceEvents = state.instances.flatMap((instance, index) => {
+    if (!instance.isUp) return [{ type: `start(${index})` }];
+    const maxCount = Math.max(
+      ...state.instances.map(({ applied }) => applied.length),
     );
-    const mayAccept = faults.acceptsWhileBehind ||
-      daemon.applied.length === newest;
+    const canAccept = faults.acceptsWhileBehind ||
+      instance.applied.length === maxCount;
     const deliveries = state.sent.map((_, at) => ({
       type: `deliver(${index},${at})`,
     }));
     return [
       ...deliveries,
       { type: `watch(${index})` },
-      ...(state.nextChange <= MAX_CHANGES && mayAccept
+      ...(state.nextChange <= MAX_CHANGES && canAccept
         ? [{ type: `accept(${index})` }]
         : []),
-      ...(state.restarts < 1 && isKnownWithout(state, index)
+      ...(state.restartCount < 1 && isKnownWithoutInstance(state, index)
         ? [{ type: `stop(${index})` }]
         : []),
-      ...(daemon.applied.length > state.log.length
+      ...(instance.applied.length > state.log.length
         ? [{ type: `repair(${index})` }]
         : []),
     ];
   });
-  const restores = state.restores < 1 && isKnownToDaemons(state)
+  const restoreEvents = state.restoreCount < 1 && isKnownToInstances(state)
     ? state.log.map((_, length) => ({ type: `restore(${length})` }))
     : [];
-  return [...ofDaemons, ...restores];
+  return [...instanceEvents, ...restoreEvents];
 }
 
 function applyEvent(
@@ -139,124 +141,144 @@
 ): ConfigurationSpecState {
   const { name, numbers } = parseEvent(event);
   const index = numbers[0] ?? 0;
-  const daemon = state.daemons[index]!;
-  const set = (changed: SpecDaemon): ConfigurationSpecState => ({
+  const instance = state.instances[index]!;
+  const withInstance = (changed: SpecInstance): ConfigurationSpecState => ({
     ...state,
-    daemons: replaceAt(state.daemons, index, changed),
+    instances: replaceAt(state.instances, index, changed),
   });
   switch (name) {
     case "deliver": {
       const [sequence, change] = state.sent[numbers[1]!]!;
-      return set(applyOne(daemon, sequence, change, faults));
+      return withInstance(applyEntry(instance, sequence, change, faults));
     }
     case "watch":
-      return set(state.log.reduce(
-        (known, change, at) => applyOne(known, at + 1, change, {}),
-        daemon,
+      return withInstance(state.log.reduce(
+        (updated, change, at) => applyEntry(updated, at + 1, change, {}),
+        instance,
       ));
     case "accept":
       return accept(state, index, faults);
     case "stop":
       return {
-        ...set({ applied: [], highest: 0, isUp: false }),
-        restarts: state.restarts + 1,
+        ...withInstance({ applied: [], highestCount: 0, isUp: false }),
+        restartCount: state.restartCount + 1,
       };
     case "start": {
-      // A daemon is ready when it has read the store and a peer, whichever is further.
+      // An instance is ready when it has read the store and a peer; it uses the longer log.
       const sources = [
         state.log,
-        ...state.daemons.map(({ applied }) => applied),
+        ...state.instances.map(({ applied }) => applied),
       ];
       const applied = sources.toSorted((a, b) => b.length - a.length)[0]!;
-      return set({ applied, highest: applied.length, isUp: true });
+      return withInstance({
+        applied,
+        highestCount: applied.length,
+        isUp: true,
+      });
     }
     case "repair": {
-      const place = state.log.length;
-      return { ...state, log: [...state.log, daemon.applied[place]!] };
+      const position = state.log.length;
+      return { ...state, log: [...state.log, instance.applied[position]!] };
     }
     case "restore":
       return {
         ...state,
         log: state.log.slice(0, index),
-        restores: state.restores + 1,
+        restoreCount: state.restoreCount + 1,
       };
     default:
       throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-/** The apply point, with the comparison of the product. */
-function applyOne(
-  daemon: SpecDaemon,
+/** Applies a log entry if the production code's comparison of sequences allows it. */
+function applyEntry(
+  instance: SpecInstance,
   sequence: number,
   change: number,
   faults: ConfigurationFaults,
-): SpecDaemon {
-  const order = compareSequence(daemon.applied.length, sequence);
+): SpecInstance {
+  const order = compareSequence(instance.applied.length, sequence);
   const isApplied = order.kind === "next" ||
-    (order.kind === "stale" && faults.appliesOlder === true) ||
+    (order.kind === "stale" && faults.appliesStaleEntries === true) ||
     (order.kind === "gap" && faults.appliesAcrossGap === true);
-  if (!isApplied) return daemon;
+  if (!isApplied) return instance;
   const applied = faults.appliesAcrossGap
-    ? [...daemon.applied, change]
-    : [...daemon.applied.slice(0, sequence - 1), change];
+    ? [...instance.applied, change]
+    : [...instance.applied.slice(0, sequence - 1), change];
   return {
-    ...daemon,
+    ...instance,
     applied,
-    highest: Math.max(daemon.highest, applied.length),
+    highestCount: Math.max(instance.highestCount, applied.length),
   };
 }
 
-/** Appends at the next place after what is in force here, by creating its key. */
+/**
+ * Appends a change after those in force at the instance, by creating the key of its
+ * position. If the key exists, the instance applies the existing entry instead.
+ */
 function accept(
   state: ConfigurationSpecState,
   index: number,
   faults: ConfigurationFaults,
 ): ConfigurationSpecState {
-  const daemon = state.daemons[index]!;
-  const place = daemon.applied.length;
-  const isTaken = state.log[place] !== undefined && !faults.overwritesLog;
-  if (isTaken) {
-    const changed = applyOne(daemon, place + 1, state.log[place]!, {});
-    return { ...state, daemons: replaceAt(state.daemons, index, changed) };
+  const instance = state.instances[index]!;
+  const position = instance.applied.length;
+  const isPositionTaken = state.log[position] !== undefined &&
+    !faults.overwritesLog;
+  if (isPositionTaken) {
+    const changed = applyEntry(
+      instance,
+      position + 1,
+      state.log[position]!,
+      {},
+    );
+    return { ...state, instances: replaceAt(state.instances, index, changed) };
   }
   const change = state.nextChange;
-  // Entries before it that the store lacks after a restore are written back by the repair.
-  const log = place > state.log.length
-    ? [...daemon.applied, change]
-    : [...state.log.slice(0, place), change, ...state.log.slice(place + 1)];
+  // The repair writes back earlier entries that the store lost in a restore.
+  const log = position > state.log.length ? [...instance.applied, change] : [
+    ...state.log.slice(0, position),
+    change,
+    ...state.log.slice(position + 1),
+  ];
   const accepted = [...state.accepted];
-  accepted[place] ??= change;
-  const changed = applyOne(daemon, place + 1, change, {});
+  accepted[position] ??= change;
+  const changed = applyEntry(instance, position + 1, change, {});
   return {
     ...state,
     log,
     accepted,
-    daemons: replaceAt(state.daemons, index, changed),
-    sent: [...state.sent, [place + 1, change]],
+    instances: replaceAt(state.instances, index, changed),
+    sent: [...state.sent, [position + 1, change]],
     nextChange: change + 1,
   };
 }
 
 /**
- * The assumption of the specification: a restore of the store does not come
- * together with the loss of every daemon that has a change in force.
+ * Returns whether a running instance has every accepted change in force. The
+ * specification assumes that a restore of the store does not coincide with the
+ * loss of all such instances.
  */
-function isKnownToDaemons(
-  { accepted, daemons }: ConfigurationSpecState,
+function isKnownToInstances(
+  { accepted, instances }: ConfigurationSpecState,
 ): boolean {
-  return daemons.some(({ applied, isUp }) =>
+  return instances.some(({ applied, isUp }) =>
     isUp && applied.length >= accepted.length
   );
 }
 
-function isKnownWithout(state: ConfigurationSpecState, index: number): boolean {
-  const others = state.daemons.filter((daemon, at) =>
-    at !== index && daemon.isUp
+/** Returns whether another instance is up and no accepted change is lost when one instance stops. */
+function isKnownWithoutInstance(
+  state: ConfigurationSpecState,
+  index: number,
+): boolean {
+  const others = state.instances.filter((instance, at) =>
+    at !== index && instance.isUp
   );
-  const known = Math.max(
+  const knownCount = Math.max(
     state.log.length,
     ...others.map(({ applied }) => applied.length),
   );
-  return others.length > 0 && known >= state.accepted.length;
+  return others.length > 0 && knownCount >= state.accepted.length;
 }
--- a/spec/explore.ts
+++ b/spec/explore.ts
@@ -2,16 +2,19 @@
 import { fromTransition } from "xstate";
 import type { Invariant, SpecEvent, Specification } from "./specification.ts";
 
-/** What a full exploration found. */
+/** Result of exploring a specification. */
 export interface Exploration {
-  readonly states: number;
+  /** Number of distinct states reached; the exploration stops early at a violation. */
+  readonly stateCount: number;
   /** `undefined` if every invariant holds in every state. */
   readonly violation: Violation | undefined;
 }
 
-/** A state in which an invariant does not hold, and a way there. */
+/** A broken invariant, and the events that lead to the state in which it is broken. */
 export interface Violation {
+  /** Text of the invariant. */
   readonly invariant: string;
+  /** Events from the initial state, in order. */
   readonly trace: readonly string[];
 }
 
@@ -26,10 +29,10 @@
 }
 
 /**
- * Explores every reachable state of a specification, until one breaks an
- * invariant.
+ * Explores every reachable state of a specification, and stops at the first state
+ * that breaks an invariant.
  *
- * @param specification What to explore.
+ * @param specification The specification to explore.
  */
 export function explore<State extends object>(
   specification: Specification<State>,
@@ -38,64 +41,64 @@
     (state: State, event: SpecEvent) => specification.apply(state, event),
     specification.initial,
   );
-  const findBroken = (state: State) =>
+  const findBrokenInvariant = (state: State) =>
     specification.invariants.find(({ holds }) => !holds(state));
-  let hasFound = false;
+  let hasViolation = false;
   const map = getAdjacencyMap(logic, {
     events: (snapshot) => [...specification.listEvents(snapshot.context)],
     serializeState: (snapshot) => JSON.stringify(snapshot.context),
     serializeEvent: ({ type }) => type,
     stopWhen: (snapshot) => {
-      hasFound ||= findBroken(snapshot.context) !== undefined;
-      return hasFound;
+      hasViolation ||= findBrokenInvariant(snapshot.context) !== undefined;
+      return hasViolation;
     },
   }) as unknown as Readonly<Record<string, Vertex<State>>>;
-  const states = Object.keys(map).length;
-  const isBroken = Object.values(map).some(({ state }) =>
-    findBroken(state.context)
+  const stateCount = Object.keys(map).length;
+  const hasBrokenState = Object.values(map).some(({ state }) =>
+    findBrokenInvariant(state.context)
   );
   return {
-    states,
-    violation: isBroken
-      ? findShortest(map, specification, findBroken)
+    stateCount,
+    violation: hasBrokenState
+      ? findShortestViolation(map, specification, findBrokenInvariant)
       : undefined,
   };
 }
 
-/** Breadth first over the map, from the initial state to the first broken one. */
-function findShortest<State extends object>(
+/** Searches the map breadth first, from the initial state to the first broken one. */
+function findShortestViolation<State extends object>(
   map: Readonly<Record<string, Vertex<State>>>,
   specification: Specification<State>,
-  findBroken: (state: State) => Invariant<State> | undefined,
+  findBrokenInvariant: (state: State) => Invariant<State> | undefined,
 ): Violation | undefined {
   const start = JSON.stringify(specification.initial);
-  const cameFrom = new Map<
+  const predecessors = new Map<
     string,
     { readonly from: string; readonly event: string }
   >();
   const queue = [start];
   const seen = new Set(queue);
-  for (let at = 0; at < queue.length; at++) {
-    const key = queue[at]!;
+  for (let position = 0; position < queue.length; position++) {
+    const key = queue[position]!;
     const vertex = map[key];
     if (vertex === undefined) continue;
-    const broken = findBroken(vertex.state.context);
+    const broken = findBrokenInvariant(vertex.state.context);
     if (broken !== undefined) {
-      return { invariant: broken.text, trace: readTrace(cameFrom, key) };
+      return { invariant: broken.text, trace: buildTrace(predecessors, key) };
     }
     Object.values(vertex.transitions).forEach(({ state, event }) => {
       const next = JSON.stringify(state.context);
       if (seen.has(next)) return;
       seen.add(next);
-      cameFrom.set(next, { from: key, event: event.type });
+      predecessors.set(next, { from: key, event: event.type });
       queue.push(next);
     });
   }
   return undefined;
 }
 
-function readTrace(
-  cameFrom: ReadonlyMap<
+function buildTrace(
+  predecessors: ReadonlyMap<
     string,
     { readonly from: string; readonly event: string }
   >,
@@ -103,9 +106,9 @@
 ): readonly string[] {
   const trace: string[] = [];
   for (
-    let step = cameFrom.get(key);
+    let step = predecessors.get(key);
     step !== undefined;
-    step = cameFrom.get(step.from)
+    step = predecessors.get(step.from)
   ) {
     trace.unshift(step.event);
   }
--- a/spec/followed_writes.ts
+++ b/spec/followed_writes.ts
@@ -1,23 +1,25 @@
 import type { Invariant } from "./specification.ts";
 
-/** One write: a configuration with the next version, or a server that leaves. */
+/** A write: a configuration with the next version, or a server that is leaving. */
 export type SpecWrite = "configuration" | "leaving";
 
-/** What writes say together. */
+/** State that results from a sequence of writes. */
 export interface WrittenState {
+  /** Version of the latest configuration; 0 if none was written. */
   readonly version: number;
   readonly isServerLeaving: boolean;
 }
 
-/** What an instance has in force, and what it ever had since its start. */
+/** An instance that follows the writes: its view in force, and its history since its start. */
 export interface FollowingInstance<View extends WrittenState> {
   readonly view: View;
-  /** Highest version that was in force. */
+  /** Highest configuration version that was in force. */
   readonly highestVersion: number;
+  /** Whether the server was leaving in a view that was in force. */
   readonly hasSeenLeaving: boolean;
 }
 
-/** What holds in each specification of instances that follow such writes. */
+/** Invariants of every specification whose instances follow such writes. */
 export const FOLLOWING_INVARIANTS: readonly Invariant<{
   readonly instances: readonly FollowingInstance<WrittenState>[];
 }>[] = [
@@ -29,7 +31,7 @@
       ),
   },
   {
-    text: "a server that is known to leave gets nothing again",
+    text: "a server that is known to be leaving never receives calls again",
     holds: ({ instances }) =>
       instances.every(({ hasSeenLeaving, view }) =>
         !hasSeenLeaving || view.isServerLeaving
@@ -37,8 +39,8 @@
   },
 ];
 
-/** Returns what the writes up to a revision say. */
-export function readWrites(
+/** Returns the state that results from the writes up to a revision. */
+export function replayWrites(
   writes: readonly SpecWrite[],
   revision: number,
 ): WrittenState {
@@ -49,8 +51,8 @@
   };
 }
 
-/** Returns an instance with another view in force. */
-export function enforceView<
+/** Returns the instance with a new view in force, and with its history updated. */
+export function updateView<
   View extends WrittenState,
   Instance extends FollowingInstance<View>,
 >(instance: Instance, view: View): Instance {
--- a/spec/journal_spec.ts
+++ b/spec/journal_spec.ts
@@ -20,32 +20,32 @@
   type Specification,
 } from "./specification.ts";
 
-/** Where an attempt is. */
+/** Phase of an attempt. */
 type Phase =
   | "idle"
-  /** It has read the journal and may write. */
+  /** It has read the journal and can write its claim. */
   | "ready"
-  /** Its write is out. */
+  /** It has sent its write and awaits the answer. */
   | "sent"
-  /** The answer to its write is lost. */
+  /** The answer to its write is lost, so the result of the write is unknown. */
   | "uncertain"
   | "granted"
   | "dispatched"
-  /** Its caller was told that it did not run. */
+  /** Its caller has received not-run. */
   | "refused"
   | "done"
-  /** Its caller was told something else. */
-  | "told"
-  /** Its instance has died. */
+  /** Its caller has received another result of the journal, such as in-progress. */
+  | "reported"
+  /** Its instance has crashed. */
   | "dead";
 
 interface Attempt {
   readonly phase: Phase;
-  /** Revision that its write expects. */
-  readonly expected: number;
-  /** Whether its write is still on its way to the store. */
+  /** Revision of the store that its write expects. */
+  readonly expectedRevision: number;
+  /** Whether its write is in transit to the store. */
   readonly isInFlight: boolean;
-  /** Answer of the store that is on its way back. */
+  /** Answer of the store that is in transit back to the attempt. */
   readonly answer: "none" | "written" | "conflict";
   readonly writes: number;
   readonly wasRefused: boolean;
@@ -55,48 +55,49 @@
   readonly revision: number;
   readonly record: RunRecord | null;
   readonly attempts: readonly Attempt[];
+  /** Number of times that the run was dispatched. */
   readonly runs: number;
   readonly isStoreDown: boolean;
   readonly outages: number;
   readonly otherWrites: number;
 }
 
-/** Faults that can be put into the protocol. */
+/** Faults that can be injected into the protocol. */
 interface JournalFaults {
-  readonly dispatchesBeforeKnown?: boolean;
+  readonly dispatchesBeforeAnswer?: boolean;
   readonly trustsLostAnswer?: boolean;
   readonly rerunsUnknown?: boolean;
   readonly ignoresRevision?: boolean;
   readonly refusesAfterDispatch?: boolean;
 }
 
-const ATTEMPTS = 2;
+const ATTEMPT_COUNT = 2;
 const MAX_WRITES = 2;
 const KEY = toRunKey(toTeamId("team"), "key");
-const IDLE: Attempt = {
+const IDLE_ATTEMPT: Attempt = {
   phase: "idle",
-  expected: 0,
+  expectedRevision: 0,
   isInFlight: false,
   answer: "none",
   writes: 0,
   wasRefused: false,
 };
 
-/** The run journal: two attempts under one key, through two instances. */
+/** The run journal, with two attempts under one key at two instances. */
 export const JOURNAL_SPEC = createJournalSpec({});
 
-/** Faults of the run journal that must be found. */
+/** Faults of the run journal; the model checker must detect each. */
 export const JOURNAL_MUTANTS: readonly Mutant[] = [
   {
-    name: "dispatch before the write is known",
-    specification: createJournalSpec({ dispatchesBeforeKnown: true }),
+    name: "dispatch before the answer to the write",
+    specification: createJournalSpec({ dispatchesBeforeAnswer: true }),
   },
   {
-    name: "take a lost answer for a success",
+    name: "treat a lost answer as a success",
     specification: createJournalSpec({ trustsLostAnswer: true }),
   },
   {
-    name: "run again what may have run",
+    name: "rerun a run whose outcome is unknown",
     specification: createJournalSpec({ rerunsUnknown: true }),
   },
   {
@@ -104,7 +105,7 @@
     specification: createJournalSpec({ ignoresRevision: true }),
   },
   {
-    name: "say not-run after the dispatch",
+    name: "answer not-run after the dispatch",
     specification: createJournalSpec({ refusesAfterDispatch: true }),
   },
 ];
@@ -115,7 +116,7 @@
     initial: {
       revision: 0,
       record: null,
-      attempts: Array.from({ length: ATTEMPTS }, () => IDLE),
+      attempts: Array.from({ length: ATTEMPT_COUNT }, () => IDLE_ATTEMPT),
       runs: 0,
       isStoreDown: false,
       outages: 0,
@@ -129,14 +130,14 @@
         holds: ({ runs }) => runs <= 1,
       },
       {
-        text: "what was refused as not-run truly did not run",
+        text: "an attempt that was refused as not-run did not run",
         holds: ({ attempts }) =>
           attempts.every(({ wasRefused, phase }) =>
             !wasRefused || (phase !== "dispatched" && phase !== "done")
           ),
       },
       {
-        text: "what has run is known, or may have run, to the journal",
+        text: "the journal has a record of every run that was dispatched",
         holds: ({ runs, record }) => runs === 0 || record !== null,
       },
     ],
@@ -147,8 +148,8 @@
   state: JournalState,
   faults: JournalFaults,
 ): readonly SpecEvent[] {
-  const ofAttempts = state.attempts.flatMap((attempt, index) =>
-    listOfAttempt(state, attempt, faults).map((name) => ({
+  const attemptEvents = state.attempts.flatMap((attempt, index) =>
+    listAttemptEvents(state, attempt, faults).map((name) => ({
       type: `${name}(${index})`,
     }))
   );
@@ -160,21 +161,21 @@
   const other = !state.isStoreDown && state.otherWrites < 1
     ? [{ type: "otherWrite" }]
     : [];
-  return [...ofAttempts, ...outage, ...other];
+  return [...attemptEvents, ...outage, ...other];
 }
 
-function listOfAttempt(
+function listAttemptEvents(
   state: JournalState,
   attempt: Attempt,
   faults: JournalFaults,
 ): readonly string[] {
   const isUp = !state.isStoreDown;
-  const arrive = attempt.isInFlight && isUp ? ["arrive"] : [];
-  const die =
-    ["dead", "idle", "refused", "told", "done"].includes(attempt.phase)
+  const arriveEvents = attempt.isInFlight && isUp ? ["arrive"] : [];
+  const crashEvents =
+    ["dead", "idle", "refused", "reported", "done"].includes(attempt.phase)
       ? []
-      : ["die"];
-  const own = (): readonly string[] => {
+      : ["crash"];
+  const listPhaseEvents = (): readonly string[] => {
     switch (attempt.phase) {
       case "idle":
         return isUp ? ["read"] : ["refuse"];
@@ -184,13 +185,13 @@
         return [
           ...(attempt.answer === "none" ? [] : ["answer"]),
           "loseAnswer",
-          ...(faults.dispatchesBeforeKnown ? ["dispatch"] : []),
+          ...(faults.dispatchesBeforeAnswer ? ["dispatch"] : []),
         ];
       case "uncertain":
         return [
           ...(isUp ? ["read"] : []),
           "refuse",
-          ...(faults.trustsLostAnswer ? ["trust"] : []),
+          ...(faults.trustsLostAnswer ? ["trustLostAnswer"] : []),
         ];
       case "granted":
         return ["dispatch", ...(isUp ? ["abort"] : [])];
@@ -200,16 +201,16 @@
           ...(faults.refusesAfterDispatch ? ["abort"] : []),
         ];
       case "refused":
-        return isUp && isOwn(state, state.attempts.indexOf(attempt))
+        return isUp && hasOpenRecord(state, state.attempts.indexOf(attempt))
           ? ["abortLate"]
           : [];
       case "done":
-      case "told":
+      case "reported":
       case "dead":
         return [];
     }
   };
-  return [...own(), ...arrive, ...die];
+  return [...listPhaseEvents(), ...arriveEvents, ...crashEvents];
 }
 
 function applyEvent(
@@ -220,7 +221,7 @@
   const { name, numbers } = parseEvent(event);
   const index = numbers[0] ?? 0;
   const attempt = state.attempts[index]!;
-  const set = (
+  const withAttempt = (
     changed: Partial<Attempt>,
     rest: Partial<JournalState> = {},
   ): JournalState => ({
@@ -240,48 +241,48 @@
         otherWrites: state.otherWrites + 1,
       };
     case "read":
-      return set(decide(state, index, faults));
+      return withAttempt(decide(state, index, faults));
     case "send":
-      return set({
+      return withAttempt({
         phase: "sent",
         isInFlight: true,
         answer: "none",
         writes: attempt.writes + 1,
       });
     case "arrive":
-      return arrive(state, index, faults);
+      return deliverWrite(state, index, faults);
     case "answer":
       return attempt.answer === "written"
-        ? set({ phase: "granted", answer: "none" })
-        : set({ phase: "idle", answer: "none" });
+        ? withAttempt({ phase: "granted", answer: "none" })
+        : withAttempt({ phase: "idle", answer: "none" });
     case "loseAnswer":
-      return set({ phase: "uncertain", answer: "none" });
-    case "trust":
-      return set({ phase: "granted" });
+      return withAttempt({ phase: "uncertain", answer: "none" });
+    case "trustLostAnswer":
+      return withAttempt({ phase: "granted" });
     case "refuse":
-      return set({ phase: "refused", wasRefused: true });
+      return withAttempt({ phase: "refused", wasRefused: true });
     case "dispatch":
-      return set({ phase: "dispatched" }, { runs: state.runs + 1 });
+      return withAttempt({ phase: "dispatched" }, { runs: state.runs + 1 });
     case "abort":
-      return set(
+      return withAttempt(
         { phase: "refused", wasRefused: true },
-        end(state, index, { kind: "not-run" }),
+        recordEnd(state, index, { kind: "not-run" }),
       );
     case "abortLate":
-      return set({}, end(state, index, { kind: "not-run" }));
+      return withAttempt({}, recordEnd(state, index, { kind: "not-run" }));
     case "finish":
-      return set(
+      return withAttempt(
         { phase: "done" },
-        end(state, index, { kind: "ran", answer: undefined }),
+        recordEnd(state, index, { kind: "ran", answer: undefined }),
       );
-    case "die":
-      return set({ phase: "dead" });
+    case "crash":
+      return withAttempt({ phase: "dead" });
     default:
       throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-/** Reads the journal and decides with the code of the product. */
+/** Reads the journal and decides with the production code. */
 function decide(
   state: JournalState,
   index: number,
@@ -296,43 +297,44 @@
   });
   switch (decision.kind) {
     case "claim":
-      return { phase: "ready", expected: state.revision };
+      return { phase: "ready", expectedRevision: state.revision };
     case "granted":
       return { phase: "granted" };
     case "unknown":
       return faults.rerunsUnknown
-        ? { phase: "ready", expected: state.revision }
-        : { phase: "told" };
+        ? { phase: "ready", expectedRevision: state.revision }
+        : { phase: "reported" };
     case "kept":
     case "not-kept":
     case "in-progress":
     case "mismatch":
-      return { phase: "told" };
+      return { phase: "reported" };
   }
 }
 
-/** The write reaches the store, perhaps long after its sender gave it up. */
-function arrive(
+/** Delivers a write to the store, possibly long after its sender stopped waiting. */
+function deliverWrite(
   state: JournalState,
   index: number,
   faults: JournalFaults,
 ): JournalState {
   const attempt = state.attempts[index]!;
-  const matches = attempt.expected === state.revision ||
+  const isExpectedRevision = attempt.expectedRevision === state.revision ||
     faults.ignoresRevision === true;
   const isAwaited = attempt.phase === "sent";
   const changed: Attempt = {
     ...attempt,
     isInFlight: false,
-    answer: isAwaited ? (matches ? "written" : "conflict") : "none",
+    answer: isAwaited ? (isExpectedRevision ? "written" : "conflict") : "none",
   };
   const attempts = replaceAt(state.attempts, index, changed);
-  if (!matches) return { ...state, attempts };
+  if (!isExpectedRevision) return { ...state, attempts };
   const record: RunRecord = { ...toRun(index), begunMs: 0, end: undefined };
   return { ...state, attempts, record, revision: state.revision + 1 };
 }
 
-function end(
+/** Records the end of an attempt's run in the journal, if its record is still open. */
+function recordEnd(
   state: JournalState,
   index: number,
   runEnd: RunEnd,
@@ -345,7 +347,8 @@
   return record === undefined ? {} : { record, revision: state.revision + 1 };
 }
 
-function isOwn(state: JournalState, index: number): boolean {
+/** Returns whether the journal's record is open and belongs to the attempt. */
+function hasOpenRecord(state: JournalState, index: number): boolean {
   return state.record !== null && state.record.end === undefined &&
     state.record.attempt === toRun(index).attempt;
 }
--- a/spec/key_spec.ts
+++ b/spec/key_spec.ts
@@ -13,37 +13,40 @@
   type Specification,
 } from "./specification.ts";
 
-/** A call on its way from the first instance to the second. */
+/** A call in transit from the first instance to the second. */
 interface SpecHop {
   readonly key: number;
-  /** Version that let it in. */
+  /** Configuration version with which the first instance admitted the call. */
   readonly version: number;
 }
 
 interface KeySpecState {
-  /** Version that the operator has put in force. */
-  readonly published: number;
-  /** Version of each instance; 0: it knows none. */
+  /** Configuration version that the operator has published. */
+  readonly publishedVersion: number;
+  /** Configuration version of each instance; 0 if it has none. */
   readonly versions: readonly number[];
   readonly hop: SpecHop | null;
-  readonly hasRunWithout: boolean;
-  readonly wasRefusedWith: boolean;
+  /** Whether a call has run with a key that is invalid in the newer of the two versions. */
+  readonly hasRunInvalidKey: boolean;
+  /** Whether a call was refused with a key that is valid in the newer of the two versions. */
+  readonly hasRefusedValidKey: boolean;
+  /** Number of calls so far. */
   readonly calls: number;
 }
 
 interface KeyFaults {
-  /** The hop says no version, so that the second instance always judges. */
-  readonly hidesVersion?: boolean;
-  /** The hop says a version that no one has, so that the first one's word counts. */
-  readonly boastsVersion?: boolean;
-  /** The second instance sees the team's name alone. */
-  readonly hidesKey?: boolean;
+  /** The hop carries no version, so the second instance always decides by its own. */
+  readonly omitsVersion?: boolean;
+  /** The hop carries a version newer than any, so the first instance's decision always counts. */
+  readonly inflatesVersion?: boolean;
+  /** The hop carries the team without the hash of the key. */
+  readonly omitsKey?: boolean;
 }
 
 const FIRST = 0;
 const SECOND = 1;
-const MOST_CALLS = 3;
-/** Keys of each version: one goes, another comes. */
+const MAX_CALLS = 3;
+/** Valid keys of each version: key 1 is added in version 2, key 0 is removed in version 3. */
 const KEYS: readonly (readonly number[])[] = [[], [0], [0, 1], [1]];
 const LAST_VERSION = KEYS.length - 1;
 const TEAM = {
@@ -56,22 +59,22 @@
   new TeamTable([{ team: TEAM, tokenHashes: keys.map(toHash) }])
 );
 
-/** Calls with keys that come and go, over a hop between instances with any versions. */
+/** Calls over a hop while keys are added and removed; the two instances can have any versions. */
 export const KEY_SPEC = createKeySpec({});
 
-/** Faults of hops that must be found. */
+/** Faults of hops; the model checker must detect each. */
 export const KEY_MUTANTS: readonly Mutant[] = [
   {
-    name: "the second instance judges by an older configuration",
-    specification: createKeySpec({ hidesVersion: true }),
+    name: "the second instance decides by an older configuration",
+    specification: createKeySpec({ omitsVersion: true }),
   },
   {
-    name: "the second instance takes the first one's word in any case",
-    specification: createKeySpec({ boastsVersion: true }),
+    name: "the second instance always accepts the first one's decision",
+    specification: createKeySpec({ inflatesVersion: true }),
   },
   {
-    name: "the hop names the team alone",
-    specification: createKeySpec({ hidesKey: true }),
+    name: "the hop carries the team without the key",
+    specification: createKeySpec({ omitsKey: true }),
   },
 ];
 
@@ -79,11 +82,11 @@
   return {
     name: "keys over a hop",
     initial: {
-      published: 1,
+      publishedVersion: 1,
       versions: [0, 0],
       hop: null,
-      hasRunWithout: false,
-      wasRefusedWith: false,
+      hasRunInvalidKey: false,
+      hasRefusedValidKey: false,
       calls: 0,
     },
     listEvents,
@@ -91,29 +94,30 @@
     invariants: [
       {
         text:
-          "a key that the newer of two instances does not hold runs nowhere",
-        holds: ({ hasRunWithout }) => !hasRunWithout,
+          "a call does not run if its key is invalid in the newer of two instances' versions",
+        holds: ({ hasRunInvalidKey }) => !hasRunInvalidKey,
       },
       {
-        text: "a key that the newer of two instances holds is not refused",
-        holds: ({ wasRefusedWith }) => !wasRefusedWith,
+        text:
+          "a call is not refused if its key is valid in the newer of two instances' versions",
+        holds: ({ hasRefusedValidKey }) => !hasRefusedValidKey,
       },
     ],
   };
 }
 
 function listEvents(state: KeySpecState): readonly SpecEvent[] {
-  const { calls, hop, published, versions } = state;
-  const learn = versions.flatMap((version, index) =>
-    version < published ? [{ type: `learn(${index})` }] : []
+  const { calls, hop, publishedVersion, versions } = state;
+  const updateEvents = versions.flatMap((version, index) =>
+    version < publishedVersion ? [{ type: `update(${index})` }] : []
   );
-  const ask = hop === null && calls < MOST_CALLS && versions[FIRST]! > 0
-    ? [0, 1].map((key) => ({ type: `ask(${key})` }))
+  const callEvents = hop === null && calls < MAX_CALLS && versions[FIRST]! > 0
+    ? [0, 1].map((key) => ({ type: `call(${key})` }))
     : [];
   return [
-    ...(published < LAST_VERSION ? [{ type: "publish" }] : []),
-    ...learn,
-    ...ask,
+    ...(publishedVersion < LAST_VERSION ? [{ type: "publish" }] : []),
+    ...updateEvents,
+    ...callEvents,
     ...(hop !== null && versions[SECOND]! > 0 ? [{ type: "arrive" }] : []),
   ];
 }
@@ -124,28 +128,29 @@
   faults: KeyFaults,
 ): KeySpecState {
   const { name, numbers } = parseEvent(event);
-  const [number = 0] = numbers;
+  const [argument = 0] = numbers;
   switch (name) {
     case "publish":
-      return { ...state, published: state.published + 1 };
-    case "learn": {
-      const next = state.versions[number]! + 1;
-      return { ...state, versions: replaceAt(state.versions, number, next) };
+      return { ...state, publishedVersion: state.publishedVersion + 1 };
+    case "update": {
+      const next = state.versions[argument]! + 1;
+      return { ...state, versions: replaceAt(state.versions, argument, next) };
     }
-    case "ask": {
+    case "call": {
       const version = state.versions[FIRST]!;
-      const isIn = isLetIn(number, version);
-      const hop = isIn ? { key: number, version } : null;
+      const isAllowed = isAdmitted(argument, version);
+      const hop = isAllowed ? { key: argument, version } : null;
       return { ...state, hop, calls: state.calls + 1 };
     }
     case "arrive":
-      return arrive(state, state.hop!, faults);
+      return receiveHop(state, state.hop!, faults);
     default:
       throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-function isLetIn(key: number, version: number): boolean {
+/** Returns whether the production code admits a caller's key under a configuration version. */
+function isAdmitted(key: number, version: number): boolean {
   return checkAccess({
     origin: { kind: "caller" },
     facts: { authorization: [`Bearer ${toKey(key)}`] },
@@ -154,19 +159,19 @@
   }).isOk();
 }
 
-/** Decides with the code of the product. */
-function arrive(
+/** Receives a call at the second instance, which decides with the production code. */
+function receiveHop(
   state: KeySpecState,
   { key, version }: SpecHop,
-  { boastsVersion, hidesKey, hidesVersion }: KeyFaults,
+  { inflatesVersion, omitsKey, omitsVersion }: KeyFaults,
 ): KeySpecState {
-  const own = state.versions[SECOND]!;
-  const told = boastsVersion ? LAST_VERSION + 1 : version;
+  const ownVersion = state.versions[SECOND]!;
+  const sentVersion = inflatesVersion ? LAST_VERSION + 1 : version;
   const caller: IdentifiedTeam = {
     team: TEAM,
-    tokenHash: hidesKey ? "" : toHash(key),
+    tokenHash: omitsKey ? "" : toHash(key),
   };
-  const runs = checkAccess({
+  const hasRun = checkAccess({
     origin: {
       kind: "instance",
       hop: {
@@ -175,20 +180,20 @@
         remainingMs: 1,
         resumeAfter: undefined,
         tried: [],
-        configurationVersion: hidesVersion ? 0 : told,
+        configurationVersion: omitsVersion ? 0 : sentVersion,
         caller,
       },
     },
     facts: { authorization: [] },
     route: undefined,
-    configuration: { teams: TABLES[own], version: own },
+    configuration: { teams: TABLES[ownVersion], version: ownVersion },
   }).isOk();
-  const isHeld = KEYS[Math.max(version, own)]!.includes(key);
+  const isKeyValid = KEYS[Math.max(version, ownVersion)]!.includes(key);
   return {
     ...state,
     hop: null,
-    hasRunWithout: state.hasRunWithout || (runs && !isHeld),
-    wasRefusedWith: state.wasRefusedWith || (!runs && isHeld),
+    hasRunInvalidKey: state.hasRunInvalidKey || (hasRun && !isKeyValid),
+    hasRefusedValidKey: state.hasRefusedValidKey || (!hasRun && isKeyValid),
   };
 }
 
--- a/spec/lease_spec.ts
+++ b/spec/lease_spec.ts
@@ -12,33 +12,38 @@
   type Specification,
 } from "./specification.ts";
 
-/** An order that is on its way, and the last time at which it arrives. */
+/** An order in transit to the engine. */
 interface SpecOrder {
   readonly token: number;
-  readonly latest: number;
+  /** Latest time, in steps, at which the order can arrive. */
+  readonly latestArrival: number;
 }
 
 interface SpecHolder {
   readonly held: HeldLease | null;
-  /** When the request that is out was made; -1: none is out. */
-  readonly asked: number;
-  /** Token that the store has granted and that the holder does not know yet. */
+  /** Time, in steps, of the request that awaits an answer; -1 if there is none. */
+  readonly requestedAt: number;
+  /** Token that the store has granted and the holder does not know yet; 0 if there is none. */
   readonly granted: number;
   readonly order: SpecOrder | null;
 }
 
 interface LeaseSpecState {
+  /** Time in steps. */
   readonly now: number;
   readonly store: {
+    /** Index of the holder; -1 if the lease was never granted. */
     readonly holder: number;
     readonly token: number;
-    readonly expires: number;
+    readonly expiresAt: number;
   };
   readonly holders: readonly SpecHolder[];
-  /** Highest token that the engine has seen, and whether an older one came after it. */
+  /** Highest token of an order that the engine has taken. */
   readonly engineToken: number;
-  readonly wasOvertaken: boolean;
-  readonly inFlightAtOnce: number;
+  /** Whether the engine has taken an order with a lower token after one with a higher token. */
+  readonly hasTakenOldOrder: boolean;
+  /** Orders in flight of the holder that sent last, counted at that send. */
+  readonly ordersInFlight: number;
 }
 
 interface LeaseFaults {
@@ -46,59 +51,62 @@
   readonly countsFromAnswer?: boolean;
   readonly hasNoMargin?: boolean;
   readonly engineIgnoresToken?: boolean;
-  readonly sendsTwo?: boolean;
+  readonly sendsWhileInFlight?: boolean;
 }
 
-/** Time is counted in steps: a lease of 3, of which the last one is not relied on. */
+/** Time is counted in steps: the lease lasts 3, and the holder does not rely on the last one. */
 const TERMS: LeaseTerms = { ttlMs: 3, marginMs: 1 };
-const ORDER_TIME = 1;
-/** Longest pause between a decision and its order, for engines that ignore tokens. */
-const PAUSE = 1;
-const END = 5;
-/** Fenced orders may be late by any time: a shorter run shows as much. */
-const FENCED_END = 4;
-const HOLDERS = 2;
+/** Steps that an order takes to arrive, without a pause. */
+const ORDER_DURATION = 1;
+/** Longest pause, in steps, between a decision and its order, for engines that ignore tokens. */
+const MAX_PAUSE = 1;
+/** Time, in steps, at which the exploration ends. */
+const END_TIME = 5;
+/** The same for fenced orders; these can be delayed indefinitely, so a shorter run suffices. */
+const FENCED_END_TIME = 4;
+const HOLDER_COUNT = 2;
 
-/** A lease with an engine that checks fencing tokens: pauses may be of any length. */
+/** A lease with an engine that checks fencing tokens; pauses can have any length. */
 export const FENCED_SPEC = createLeaseSpec({ isFenced: true, faults: {} });
-/** A lease with an engine that ignores tokens: pauses are bounded by the margin. */
+/** A lease with an engine that ignores tokens; the margin limits the pauses. */
 export const UNFENCED_SPEC = createLeaseSpec({ isFenced: false, faults: {} });
 
-/** Faults of leases that must be found. */
+/** Faults of leases; the model checker must detect each. */
 export const LEASE_MUTANTS: readonly Mutant[] = [
   {
-    name: "order after the lease, to an engine that ignores tokens",
+    name:
+      "send an order after the lease has expired, to an engine that ignores tokens",
     specification: createLeaseSpec({
       isFenced: false,
       faults: { ignoresLease: true },
     }),
   },
   {
-    name: "count the lease from the answer in place of the request",
+    name: "count the lease from the answer instead of the request",
     specification: createLeaseSpec({
       isFenced: false,
       faults: { countsFromAnswer: true },
     }),
   },
   {
-    name: "rely on the lease to its last step",
+    name: "rely on the lease until its last step",
     specification: createLeaseSpec({
       isFenced: false,
       faults: { hasNoMargin: true },
     }),
   },
   {
-    name: "an engine that should check tokens does not",
+    name: "an engine that must check tokens ignores them",
     specification: createLeaseSpec({
       isFenced: true,
       faults: { engineIgnoresToken: true },
     }),
   },
   {
-    name: "a second order while one is in flight",
+    name: "send a second order while one is in flight",
     specification: createLeaseSpec({
       isFenced: false,
-      faults: { sendsTwo: true },
+      faults: { sendsWhileInFlight: true },
     }),
   },
 ];
@@ -110,68 +118,73 @@
     name: options.isFenced ? "lease, fenced orders" : "lease, unfenced orders",
     initial: {
       now: 0,
-      store: { holder: -1, token: 0, expires: 0 },
+      store: { holder: -1, token: 0, expiresAt: 0 },
       holders: Array.from(
-        { length: HOLDERS },
-        () => ({ held: null, asked: -1, granted: 0, order: null }),
+        { length: HOLDER_COUNT },
+        () => ({ held: null, requestedAt: -1, granted: 0, order: null }),
       ),
       engineToken: 0,
-      wasOvertaken: false,
-      inFlightAtOnce: 0,
+      hasTakenOldOrder: false,
+      ordersInFlight: 0,
     },
     listEvents: (state) => listEvents(state, options),
     apply: (state, event) => applyEvent(state, event, options),
     invariants: [
       {
         text:
-          "an engine never takes an older holder's order after a newer one's",
-        holds: ({ wasOvertaken }) => !wasOvertaken,
+          "an engine never takes an earlier holder's order after a later holder's",
+        holds: ({ hasTakenOldOrder }) => !hasTakenOldOrder,
       },
       {
-        text: "a holder has one order in flight for each engine",
-        holds: ({ inFlightAtOnce }) => inFlightAtOnce <= 1,
+        text: "a holder has at most one order in flight for each engine",
+        holds: ({ ordersInFlight }) => ordersInFlight <= 1,
       },
     ],
   };
 }
 
-type SpecOptions = { readonly isFenced: boolean; readonly faults: LeaseFaults };
+type LeaseSpecOptions = {
+  readonly isFenced: boolean;
+  readonly faults: LeaseFaults;
+};
 
 function listEvents(
   state: LeaseSpecState,
-  options: SpecOptions,
+  options: LeaseSpecOptions,
 ): readonly SpecEvent[] {
-  const mustArrive = state.holders.some(({ order }) =>
-    order !== null && order.latest <= state.now
+  const isArrivalDue = state.holders.some(({ order }) =>
+    order !== null && order.latestArrival <= state.now
   );
-  const tick = state.now < (options.isFenced ? FENCED_END : END) && !mustArrive
-    ? [{ type: "tick" }]
-    : [];
-  const ofHolders = state.holders.flatMap((holder, index) => {
+  const tick =
+    state.now < (options.isFenced ? FENCED_END_TIME : END_TIME) && !isArrivalDue
+      ? [{ type: "tick" }]
+      : [];
+  const holderEvents = state.holders.flatMap((holder, index) => {
     const names = [
-      ...(holder.asked < 0 ? ["ask"] : []),
-      ...(holder.asked >= 0 && holder.granted === 0 && isFree(state, index)
+      ...(holder.requestedAt < 0 ? ["request"] : []),
+      ...(holder.requestedAt >= 0 && holder.granted === 0 &&
+          canGrant(state, index)
         ? ["grant"]
         : []),
       ...(holder.granted > 0 ? ["answer"] : []),
-      ...(holder.asked >= 0 ? ["loseAnswer"] : []),
-      ...(maySend(state, holder, options) ? ["send"] : []),
+      ...(holder.requestedAt >= 0 ? ["loseAnswer"] : []),
+      ...(canSend(state, holder, options) ? ["send"] : []),
       ...(holder.order === null ? [] : ["arrive"]),
     ];
     return names.map((name) => ({ type: `${name}(${index})` }));
   });
-  return [...tick, ...ofHolders];
+  return [...tick, ...holderEvents];
 }
 
 function applyEvent(
   state: LeaseSpecState,
   event: SpecEvent,
-  options: SpecOptions,
+  options: LeaseSpecOptions,
 ): LeaseSpecState {
   const { name, numbers } = parseEvent(event);
   const index = numbers[0] ?? 0;
   const holder = state.holders[index]!;
-  const set = (
+  const withHolder = (
     changed: Partial<SpecHolder>,
     rest: Partial<LeaseSpecState> = {},
   ): LeaseSpecState => ({
@@ -182,58 +195,67 @@
   switch (name) {
     case "tick":
       return { ...state, now: state.now + 1 };
-    case "ask":
-      return set({ asked: state.now });
+    case "request":
+      return withHolder({ requestedAt: state.now });
     case "grant": {
       const isRenewal = state.store.holder === index &&
-        state.now < state.store.expires;
+        state.now < state.store.expiresAt;
       const token = isRenewal ? state.store.token : state.store.token + 1;
-      const store = { holder: index, token, expires: state.now + TERMS.ttlMs };
-      return set({ granted: token }, { store });
+      const store = {
+        holder: index,
+        token,
+        expiresAt: state.now + TERMS.ttlMs,
+      };
+      return withHolder({ granted: token }, { store });
     }
     case "answer": {
       const renewedMs = options.faults.countsFromAnswer
         ? state.now
-        : holder.asked;
+        : holder.requestedAt;
       const held = { token: holder.granted, leaseId: "lease", renewedMs };
-      return set({ held, asked: -1, granted: 0 });
+      return withHolder({ held, requestedAt: -1, granted: 0 });
     }
     case "loseAnswer":
-      return set({ asked: -1, granted: 0 });
+      return withHolder({ requestedAt: -1, granted: 0 });
     case "send": {
       const token = holder.held!.token;
-      // To an engine that checks tokens an order may be late by any time.
-      const latest = options.isFenced
-        ? END + 1
-        : state.now + ORDER_TIME + PAUSE;
-      const inFlightAtOnce = holder.order === null ? 1 : 2;
-      return set({ order: { token, latest } }, { inFlightAtOnce });
+      // An order to an engine that checks tokens can be delayed indefinitely.
+      const latestArrival = options.isFenced
+        ? END_TIME + 1
+        : state.now + ORDER_DURATION + MAX_PAUSE;
+      const ordersInFlight = holder.order === null ? 1 : 2;
+      return withHolder({ order: { token, latestArrival } }, {
+        ordersInFlight,
+      });
     }
     case "arrive":
-      return set({ order: null }, takeOrder(state, holder.order!, options));
+      return withHolder(
+        { order: null },
+        deliverOrder(state, holder.order!, options),
+      );
     default:
       throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-function isFree({ now, store }: LeaseSpecState, index: number): boolean {
-  return store.holder === index || now >= store.expires;
+function canGrant({ now, store }: LeaseSpecState, index: number): boolean {
+  return store.holder === index || now >= store.expiresAt;
 }
 
-/** Decides with the code of the product. */
-function maySend(
+/** Returns whether a holder can send an order, as the production code decides. */
+function canSend(
   state: LeaseSpecState,
   holder: SpecHolder,
-  options: SpecOptions,
+  options: LeaseSpecOptions,
 ): boolean {
   const { faults, isFenced } = options;
   if (holder.held === null) return false;
   const terms = faults.hasNoMargin ? { ...TERMS, marginMs: 0 } : TERMS;
   const isSafe = isLeaseSafe(holder.held, terms, {
     nowMs: state.now,
-    actMs: ORDER_TIME,
+    actMs: ORDER_DURATION,
   });
-  const hasOrderInFlight = holder.order !== null && !faults.sendsTwo;
+  const hasOrderInFlight = holder.order !== null && !faults.sendsWhileInFlight;
   const decision = decideOrder(
     { checksFencing: isFenced, hasOrderInFlight },
     isSafe,
@@ -242,15 +264,15 @@
     (faults.ignoresLease === true && !hasOrderInFlight);
 }
 
-function takeOrder(
+function deliverOrder(
   state: LeaseSpecState,
   { token }: SpecOrder,
-  { faults, isFenced }: SpecOptions,
+  { faults, isFenced }: LeaseSpecOptions,
 ): Partial<LeaseSpecState> {
   const isOld = token < state.engineToken;
   if (isOld && isFenced && !faults.engineIgnoresToken) return {};
   return {
     engineToken: Math.max(state.engineToken, token),
-    wasOvertaken: state.wasOvertaken || isOld,
+    hasTakenOldOrder: state.hasTakenOldOrder || isOld,
   };
 }
--- a/spec/mod.ts
+++ b/spec/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Small specifications of the core protocols. They call the decisions of the
- * product's own code, and are explored exhaustively.
+ * Small specifications of the core protocols. They call the decision functions of
+ * the production code; the model checker explores all their states.
  *
  * @example
  * ```ts
--- a/spec/restored_store_spec.ts
+++ b/spec/restored_store_spec.ts
@@ -1,11 +1,11 @@
 import { mayReplace, pickFresh } from "../state/mod.ts";
 import type { StorePosition } from "../store/mod.ts";
 import {
-  enforceView,
   FOLLOWING_INVARIANTS,
   type FollowingInstance,
-  readWrites,
+  replayWrites,
   type SpecWrite,
+  updateView,
   type WrittenState,
 } from "./followed_writes.ts";
 import {
@@ -16,57 +16,58 @@
   type Specification,
 } from "./specification.ts";
 
-/** What an instance has in force, and up to where it knows the store. */
+/** State that an instance has in force, and the store position up to which it knows the writes. */
 interface SpecView extends WrittenState, StorePosition {}
 
 interface RestoredStoreState {
+  /** Era of the store; each restore starts a new one. */
   readonly era: number;
-  /** Writes in the store, the first at revision 1 of the era. */
+  /** Writes in the store; the first has revision 1 of the era. */
   readonly writes: readonly SpecWrite[];
-  /** Writes that the store lost, in order, and that are to be written again. */
+  /** Writes that the store lost and that must be written again, in order. */
   readonly lost: readonly SpecWrite[];
   readonly instances: readonly FollowingInstance<SpecView>[];
-  /** Full reads and peers' copies on their way; each may arrive at any time, or again. */
+  /** Full reads and peers' copies in transit; each can arrive at any time, and more than once. */
   readonly copies: readonly SpecView[];
-  /** Whether an instance passed over something that the store told it. */
-  readonly hasPassedOver: boolean;
+  /** Whether an instance has ignored a write that the store reported to it. */
+  readonly hasSkippedWrite: boolean;
 }
 
 interface RestoredStoreFaults {
-  /** Revisions are compared whatever their eras are. */
+  /** Compares revisions without regard to their eras. */
   readonly comparesRevisionsOnly?: boolean;
-  /** What a store lost is dropped at once. */
-  readonly forgetsLostWrites?: boolean;
+  /** Drops the writes that the store lost when a copy is applied. */
+  readonly dropsLostWrites?: boolean;
 }
 
-const INSTANCES = 2;
+const INSTANCE_COUNT = 2;
 const MAX_WRITES = 3;
 const MAX_ERAS = 1;
-/** More at a time have too many states; one that was dropped makes room for another. */
+/** Maximum number of copies in transit; more have too many states. Dropping a copy allows another one. */
 const MAX_COPIES = 1;
-const START_VIEW: SpecView = {
+const INITIAL_VIEW: SpecView = {
   era: 0,
   revision: 0,
   version: 0,
   isServerLeaving: false,
 };
 
-/** A store that comes back from older copies of itself, and two instances that follow it. */
-export const RESTORED_STORE_SPEC = createSpec({});
+/** A store that is restored from an older copy of itself, and two instances that follow it. */
+export const RESTORED_STORE_SPEC = createRestoredStoreSpec({});
 
-/** Faults of following such a store that must be found. */
+/** Faults of instances that follow a restored store; the model checker must detect each. */
 export const RESTORED_STORE_MUTANTS: readonly Mutant[] = [
   {
     name: "compare revisions of different eras",
-    specification: createSpec({ comparesRevisionsOnly: true }),
+    specification: createRestoredStoreSpec({ comparesRevisionsOnly: true }),
   },
   {
-    name: "drop what the store lost",
-    specification: createSpec({ forgetsLostWrites: true }),
+    name: "drop the writes that the store lost",
+    specification: createRestoredStoreSpec({ dropsLostWrites: true }),
   },
 ];
 
-function createSpec(
+function createRestoredStoreSpec(
   faults: RestoredStoreFaults,
 ): Specification<RestoredStoreState> {
   return {
@@ -75,21 +76,21 @@
       era: 0,
       writes: [],
       lost: [],
-      instances: Array.from({ length: INSTANCES }, () => ({
-        view: START_VIEW,
+      instances: Array.from({ length: INSTANCE_COUNT }, () => ({
+        view: INITIAL_VIEW,
         highestVersion: 0,
         hasSeenLeaving: false,
       })),
       copies: [],
-      hasPassedOver: false,
+      hasSkippedWrite: false,
     },
     listEvents,
     apply: (state, event) => applyEvent(state, event, faults),
     invariants: [
       ...FOLLOWING_INVARIANTS,
       {
-        text: "what the store tells of in its present era is in force",
-        holds: ({ hasPassedOver }) => !hasPassedOver,
+        text: "what the store reports in its current era is in force",
+        holds: ({ hasSkippedWrite }) => !hasSkippedWrite,
       },
     ],
   };
@@ -97,20 +98,20 @@
 
 function listEvents(state: RestoredStoreState): readonly SpecEvent[] {
   const { copies, era, instances, lost, writes } = state;
-  const hasLeft = [...writes, ...lost].includes("leaving");
+  const isLeaving = [...writes, ...lost].includes("leaving");
   const mayWrite = writes.length + lost.length < MAX_WRITES;
   const mayCopy = copies.length < MAX_COPIES;
   return [
     ...(mayWrite ? [{ type: "configure" }] : []),
-    ...(mayWrite && !hasLeft ? [{ type: "leave" }] : []),
-    ...(lost.length > 0 ? [{ type: "write-again" }] : []),
+    ...(mayWrite && !isLeaving ? [{ type: "leave" }] : []),
+    ...(lost.length > 0 ? [{ type: "writeLost" }] : []),
     ...(era < MAX_ERAS
       ? writes.map((_, upTo) => ({ type: `restore(${upTo})` }))
       : []),
-    ...(mayCopy ? [{ type: "read" }] : [{ type: "drop" }]),
+    ...(mayCopy ? [{ type: "readAll" }] : [{ type: "drop" }]),
     ...instances.flatMap((_, index) => [
-      ...copies.map((_, at) => ({ type: `take(${index},${at})` })),
-      ...(mayCopy ? [{ type: `copy(${index})` }] : []),
+      ...copies.map((_, at) => ({ type: `receive(${index},${at})` })),
+      ...(mayCopy ? [{ type: `send(${index})` }] : []),
       { type: `watch(${index})` },
     ]),
   ];
@@ -122,14 +123,14 @@
   faults: RestoredStoreFaults,
 ): RestoredStoreState {
   const { name, numbers } = parseEvent(event);
-  const [index = 0, at = 0] = numbers;
+  const [index = 0, copyIndex = 0] = numbers;
   const { copies, era, instances, lost, writes } = state;
   const withView = (view: SpecView): RestoredStoreState => ({
     ...state,
     instances: replaceAt(
       instances,
       index,
-      enforceView(instances[index]!, view),
+      updateView(instances[index]!, view),
     ),
   });
   switch (name) {
@@ -137,7 +138,7 @@
       return { ...state, writes: [...writes, "configuration"] };
     case "leave":
       return { ...state, writes: [...writes, "leaving"] };
-    case "write-again":
+    case "writeLost":
       return { ...state, writes: [...writes, lost[0]!], lost: lost.slice(1) };
     case "restore":
       return {
@@ -146,53 +147,64 @@
         writes: writes.slice(0, index),
         lost: [...writes.slice(index), ...lost],
       };
-    case "read": {
-      const all = { era, revision: writes.length };
+    case "readAll": {
+      const position = { era, revision: writes.length };
       return {
         ...state,
-        copies: [...copies, { ...all, ...readWrites(writes, all.revision) }],
+        copies: [...copies, {
+          ...position,
+          ...replayWrites(writes, position.revision),
+        }],
       };
     }
     case "drop":
       return { ...state, copies: [] };
-    case "copy":
+    case "send":
       return { ...state, copies: [...copies, instances[index]!.view] };
-    case "take":
-      return withView(takeCopy(instances[index]!.view, copies[at]!, faults));
+    case "receive":
+      return withView(
+        applyCopy(instances[index]!.view, copies[copyIndex]!, faults),
+      );
     case "watch": {
       const instance = instances[index]!;
-      const isAnother = instance.view.era !== era;
-      // Its answer says that it is of another era: all is read first.
-      if (isAnother && !faults.comparesRevisionsOnly) return state;
-      const view = watch(state, instance.view);
-      const told = readWrites(writes, writes.length);
-      return { ...withView(view), hasPassedOver: !includes(view, told) };
+      const isOtherEra = instance.view.era !== era;
+      // The answer names another era, so the instance must read the whole store first.
+      if (isOtherEra && !faults.comparesRevisionsOnly) return state;
+      const view = applyWatchAnswer(state, instance.view);
+      const written = replayWrites(writes, writes.length);
+      return {
+        ...withView(view),
+        hasSkippedWrite: !coversState(view, written),
+      };
     }
     default:
-      throw new Error(`Unknown event ${event.type}`);
+      throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-/** Takes a full read or a copy; what is known of lost writes stays. */
-function takeCopy(
+/** Applies a full read or a copy, and retains what is known from writes that the store lost. */
+function applyCopy(
   known: SpecView,
   copy: SpecView,
   faults: RestoredStoreFaults,
 ): SpecView {
-  const isTaken = faults.comparesRevisionsOnly
+  const isApplied = faults.comparesRevisionsOnly
     ? mayReplace({ ...known, era: 0 }, { ...copy, era: 0 })
     : mayReplace(known, copy);
-  if (!isTaken) return keepNewest(known, known, copy);
-  return faults.forgetsLostWrites ? copy : keepNewest(copy, known, copy);
+  if (!isApplied) return mergeViews(known, known, copy);
+  return faults.dropsLostWrites ? copy : mergeViews(copy, known, copy);
 }
 
-/** Takes the changes after what is known. */
-function watch({ writes }: RestoredStoreState, known: SpecView): SpecView {
+/** Applies the writes after the known revision. */
+function applyWatchAnswer(
+  { writes }: RestoredStoreState,
+  known: SpecView,
+): SpecView {
   const revisions = writes.map((_, at) => ({ at, revision: at + 1 }));
   const fresh = pickFresh(known.revision, revisions);
   const changes = fresh.map(({ at }) => writes[at]!);
   const versions = fresh.filter(({ at }) => writes[at] === "configuration")
-    .map(({ revision }) => readWrites(writes, revision).version);
+    .map(({ revision }) => replayWrites(writes, revision).version);
   return {
     ...known,
     revision: Math.max(known.revision, writes.length),
@@ -201,7 +213,7 @@
   };
 }
 
-function keepNewest(
+function mergeViews(
   position: StorePosition,
   first: SpecView,
   second: SpecView,
@@ -214,7 +226,7 @@
   };
 }
 
-function includes(
+function coversState(
   view: SpecView,
   written: WrittenState,
 ): boolean {
--- a/spec/run_model.ts
+++ b/spec/run_model.ts
@@ -35,15 +35,15 @@
   ...KEY_MUTANTS,
 ];
 
-const failed = process.argv.includes("--mutants")
+const failureCount = process.argv.includes("--mutants")
   ? checkMutants()
   : checkSpecifications();
-process.exit(failed === 0 ? 0 : 1);
+process.exit(failureCount === 0 ? 0 : 1);
 
 function checkSpecifications(): number {
   const results = SPECIFICATIONS.map((specification) => {
-    const { states, violation } = explore(specification);
-    console.log(`${specification.name}: ${states} states`);
+    const { stateCount, violation } = explore(specification);
+    console.log(`${specification.name}: ${stateCount} states`);
     specification.invariants.forEach(({ text }) => {
       console.log(
         `  ${violation?.invariant === text ? "BROKEN" : "holds"}: ${text}`,
@@ -57,10 +57,10 @@
 
 function checkMutants(): number {
   const missed = MUTANTS.filter(({ name, specification }) => {
-    const { states, violation } = explore(specification);
+    const { stateCount, violation } = explore(specification);
     const outcome = violation === undefined ? "MISSED" : "caught";
     console.log(
-      `${specification.name}, "${name}": ${outcome} in ${states} states`,
+      `${specification.name}, "${name}": ${outcome} in ${stateCount} states`,
     );
     if (violation !== undefined) printTrace(violation);
     return violation === undefined;
--- a/spec/server_spec.ts
+++ b/spec/server_spec.ts
@@ -8,34 +8,34 @@
   type Specification,
 } from "./specification.ts";
 
-/** One write under the key of a server, by one of its starts or by another writer. */
+/** A write under the key of a server, by one of its starts or by another writer. */
 type SpecEntry =
   | {
     readonly kind: "own";
-    /** Which start of the server wrote it, from 1. */
+    /** Number of the start of the server that wrote the entry, from 1. */
     readonly start: number;
     readonly isDraining: boolean;
   }
-  /** Bytes that are no entry. */
+  /** Bytes that cannot be parsed as an entry. */
   | { readonly kind: "unreadable" };
 
 interface ServerSpecState {
   /** Writes in the store, oldest first. */
   readonly writes: readonly SpecEntry[];
-  /** Starts of the server so far. */
-  readonly starts: number;
-  /** Starts that have said that they leave. */
-  readonly left: readonly number[];
-  /** Writes that the instance has seen. */
-  readonly seen: number;
-  /** What the instance believes of the server. */
-  readonly believed: RegisteredServer | undefined;
+  /** Number of starts of the server so far. */
+  readonly startCount: number;
+  /** Starts that have reported that they are leaving. */
+  readonly leftStarts: readonly number[];
+  /** Number of writes that the instance has observed. */
+  readonly observedCount: number;
+  /** The server as the instance knows it; `undefined` if the instance knows no entry. */
+  readonly knownServer: RegisteredServer | undefined;
 }
 
 interface ServerFaults {
   readonly ignoresStarts?: boolean;
-  readonly takesLateLeaving?: boolean;
-  readonly keepsUnreadable?: boolean;
+  readonly appliesOutdatedDraining?: boolean;
+  readonly ignoresUnreadable?: boolean;
 }
 
 const NAME = "engine";
@@ -43,25 +43,27 @@
 const MAX_STARTS = 3;
 
 /**
- * The entries of one server, which starts again under its name, leaves, and whose
- * earlier starts write late; other writers overwrite them. An instance takes the
- * writes in their order in the store, as the state's own specification has it.
+ * The entries of one server, which restarts under its name and leaves. Writes of its
+ * earlier starts come late, and other writers overwrite its entries. An instance
+ * observes the writes in the order of the store; the specification of the state
+ * checks this order.
  */
 export const SERVER_SPEC = createServerSpec({});
 
-/** Faults of judging entries that must be found. */
+/** Faults in the evaluation of entries; the model checker must detect each. */
 export const SERVER_MUTANTS: readonly Mutant[] = [
   {
-    name: "take an entry without asking which start wrote it",
+    name: "apply an entry without checking which start wrote it",
     specification: createServerSpec({ ignoresStarts: true }),
   },
   {
-    name: "take back that a server leaves, on a late word of an earlier start",
-    specification: createServerSpec({ takesLateLeaving: true }),
+    name:
+      "clear the leaving mark of a server on a late write of an earlier start",
+    specification: createServerSpec({ appliesOutdatedDraining: true }),
   },
   {
-    name: "go on using a server whose entry can't be read",
-    specification: createServerSpec({ keepsUnreadable: true }),
+    name: "continue to use a server whose entry cannot be read",
+    specification: createServerSpec({ ignoresUnreadable: true }),
   },
 ];
 
@@ -70,31 +72,38 @@
 ): Specification<ServerSpecState> {
   return {
     name: "entries of a server",
-    initial: { writes: [], starts: 0, left: [], seen: 0, believed: undefined },
+    initial: {
+      writes: [],
+      startCount: 0,
+      leftStarts: [],
+      observedCount: 0,
+      knownServer: undefined,
+    },
     listEvents,
     apply: (state, event) => applyEvent(state, event, faults),
     invariants: [
       {
-        text: "the latest start that was heard of is the one in use",
-        holds: ({ believed, seen, writes }) => {
-          const latest = findLatestStart(writes.slice(0, seen));
-          return believed === undefined || believed.startedMs === latest;
+        text: "the latest start that was observed is the one in use",
+        holds: ({ knownServer, observedCount, writes }) => {
+          const latest = findLatestStart(writes.slice(0, observedCount));
+          return knownServer === undefined || knownServer.startedMs === latest;
         },
       },
       {
-        text: "a start that said that it leaves gets nothing new",
-        holds: ({ believed, seen, writes }) =>
-          believed === undefined || believed.isDraining ||
-          !writes.slice(0, seen).some((write) =>
+        text:
+          "a start that has reported that it is leaving receives no new calls",
+        holds: ({ knownServer, observedCount, writes }) =>
+          knownServer === undefined || knownServer.isDraining ||
+          !writes.slice(0, observedCount).some((write) =>
             write.kind === "own" && write.isDraining &&
-            write.start === believed.startedMs
+            write.start === knownServer.startedMs
           ),
       },
       {
-        text: "a server gets nothing while its last entry can't be read",
-        holds: ({ believed, seen, writes }) =>
-          believed === undefined || believed.isDraining ||
-          writes[seen - 1]?.kind !== "unreadable",
+        text: "a server receives no calls while its last entry cannot be read",
+        holds: ({ knownServer, observedCount, writes }) =>
+          knownServer === undefined || knownServer.isDraining ||
+          writes[observedCount - 1]?.kind !== "unreadable",
       },
     ],
   };
@@ -107,21 +116,23 @@
 }
 
 function listEvents(
-  { left, seen, starts, writes }: ServerSpecState,
+  { leftStarts, observedCount, startCount, writes }: ServerSpecState,
 ): readonly SpecEvent[] {
-  const mayWrite = writes.length < MAX_WRITES;
-  const all = Array.from({ length: starts }, (_, index) => index + 1);
+  const canWrite = writes.length < MAX_WRITES;
+  const allStarts = Array.from({ length: startCount }, (_, index) => index + 1);
   return [
-    ...(mayWrite && starts < MAX_STARTS ? [{ type: "start" }] : []),
-    // A start writes what it does at any time, also when the next one has begun.
-    ...(mayWrite
-      ? all.filter((start) => !left.includes(start)).flatMap((start) => [
+    ...(canWrite && startCount < MAX_STARTS ? [{ type: "start" }] : []),
+    // A start can write at any time, also after a later start has begun.
+    ...(canWrite
+      ? allStarts.filter((start) => !leftStarts.includes(start)).flatMap((
+        start,
+      ) => [
         { type: `renew(${start})` },
         { type: `leave(${start})` },
       ])
       : []),
-    ...(mayWrite && starts > 0 ? [{ type: "overwrite" }] : []),
-    ...(seen < writes.length ? [{ type: "see" }] : []),
+    ...(canWrite && startCount > 0 ? [{ type: "overwrite" }] : []),
+    ...(observedCount < writes.length ? [{ type: "observe" }] : []),
   ];
 }
 
@@ -131,7 +142,7 @@
   faults: ServerFaults,
 ): ServerSpecState {
   const { name, numbers: [start = 0] } = parseEvent(event);
-  const { left, seen, starts, writes } = state;
+  const { leftStarts, observedCount, startCount, writes } = state;
   const write = (entry: SpecEntry): ServerSpecState => ({
     ...state,
     writes: [...writes, entry],
@@ -139,50 +150,54 @@
   switch (name) {
     case "start":
       return {
-        ...write({ kind: "own", start: starts + 1, isDraining: false }),
-        starts: starts + 1,
+        ...write({ kind: "own", start: startCount + 1, isDraining: false }),
+        startCount: startCount + 1,
       };
     case "renew":
       return write({ kind: "own", start, isDraining: false });
     case "leave":
       return {
         ...write({ kind: "own", start, isDraining: true }),
-        left: [...left, start],
+        leftStarts: [...leftStarts, start],
       };
     case "overwrite":
       return write({ kind: "unreadable" });
-    case "see":
+    case "observe":
       return {
         ...state,
-        seen: seen + 1,
-        believed: judge(state.believed, writes[seen]!, faults),
+        observedCount: observedCount + 1,
+        knownServer: evaluateEntry(
+          state.knownServer,
+          writes[observedCount]!,
+          faults,
+        ),
       };
     default:
-      throw new Error(`Unknown event ${event.type}`);
+      throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-/** Takes one entry as the product does. */
-function judge(
+/** Evaluates one entry with the production code. */
+function evaluateEntry(
   before: RegisteredServer | undefined,
   entry: SpecEntry,
   faults: ServerFaults,
 ): RegisteredServer | undefined {
   if (entry.kind === "unreadable") {
-    if (faults.keepsUnreadable) return before;
+    if (faults.ignoresUnreadable) return before;
     return before && withdrawServer(before);
   }
-  const told = toServer(entry);
-  if (faults.ignoresStarts) return told;
-  const verdict = judgeServerEntry(before, told);
+  const reported = toServer(entry);
+  if (faults.ignoresStarts) return reported;
+  const verdict = judgeServerEntry(before, reported);
   switch (verdict.kind) {
     case "put":
     case "restarted":
     case "foreign":
       return verdict.server;
     case "outdated":
-      return faults.takesLateLeaving
-        ? { ...verdict.server, isDraining: told.isDraining }
+      return faults.appliesOutdatedDraining
+        ? { ...verdict.server, isDraining: reported.isDraining }
         : verdict.server;
   }
 }
--- a/spec/state_spec.ts
+++ b/spec/state_spec.ts
@@ -1,10 +1,10 @@
 import { mayReplace, pickFresh } from "../state/mod.ts";
 import {
-  enforceView,
   FOLLOWING_INVARIANTS,
   type FollowingInstance,
-  readWrites,
+  replayWrites,
   type SpecWrite,
+  updateView,
   type WrittenState,
 } from "./followed_writes.ts";
 import {
@@ -15,31 +15,31 @@
   type Specification,
 } from "./specification.ts";
 
-/** What the documents of the store say together. */
+/** State that the documents of the store result in. */
 interface SpecView extends WrittenState {
-  /** Revision up to which writes are in it. */
+  /** Revision up to which the view includes the writes. */
   readonly revision: number;
 }
 
-/** A full read, or a peer's copy, on its way. */
+/** A full read of the store or a copy from a peer, in transit. */
 interface SpecCopy {
   readonly view: SpecView;
-  /** Revision that it goes on from; 0: it holds everything. */
+  /** Revision after which the copy begins; 0 if it is complete. */
   readonly afterRevision: number;
 }
 
 interface SpecInstance extends FollowingInstance<SpecView> {
-  /** Where its watch goes on; `undefined`: it must read all first. */
+  /** Revision after which its watch continues; `undefined` if it must read everything first. */
   readonly watchAfter: number | undefined;
 }
 
 interface StateSpecState {
-  /** Writes in the store, the first at revision 1. */
+  /** Writes in the store; the first has revision 1. */
   readonly writes: readonly SpecWrite[];
-  /** Writes up to this revision are no longer in the history. */
-  readonly compacted: number;
+  /** Revision up to which the writes are no longer in the store's history. */
+  readonly compactedRevision: number;
   readonly instances: readonly SpecInstance[];
-  /** Full reads and peers' copies on their way; each may arrive at any time, or again. */
+  /** Full reads and peers' copies in transit; each can arrive at any time, and more than once. */
   readonly copies: readonly SpecCopy[];
   readonly restarts: number;
 }
@@ -47,28 +47,28 @@
 interface StateFaults {
   readonly appliesOldChanges?: boolean;
   readonly appliesOldCopies?: boolean;
-  readonly skipsLostHistory?: boolean;
+  readonly skipsCompactedHistory?: boolean;
   readonly appliesCopiesWithGaps?: boolean;
-  readonly resumesBeyondItsView?: boolean;
+  readonly resumesFromNewestRevision?: boolean;
 }
 
-const INSTANCES = 2;
+const INSTANCE_COUNT = 2;
 const MAX_WRITES = 3;
-/** What of the possible an exploration covers: all together has too many states. */
+/** What one exploration covers. An exploration of everything at once has too many states. */
 interface StateScope {
   readonly name: string;
-  /** Copies on their way at the same time. */
+  /** Maximum number of copies in transit at the same time. */
   readonly maxCopies: number;
-  /** Whether copies may hold a part, and who follows the store changes. */
+  /** Whether copies can be partial, and whether the instances that follow the store change. */
   readonly isRelayed: boolean;
 }
 
-const OVERTAKING_COPIES: StateScope = {
+const REORDERED_COPIES: StateScope = {
   name: "state",
   maxCopies: 2,
   isRelayed: false,
 };
-const RELAYS: StateScope = {
+const RELAYED_COPIES: StateScope = {
   name: "state by relay",
   maxCopies: 1,
   isRelayed: true,
@@ -78,7 +78,7 @@
   version: 0,
   isServerLeaving: false,
 };
-const FRESH_INSTANCE: SpecInstance = {
+const INITIAL_INSTANCE: SpecInstance = {
   view: EMPTY_VIEW,
   watchAfter: undefined,
   highestVersion: 0,
@@ -86,48 +86,54 @@
 };
 
 /**
- * The state of the store, followed by watches, full reads and copies of peers,
- * which hold everything or what came after a revision. Whether an instance
- * follows the store changes at any time.
+ * Instances follow the state of the store by watches, by full reads and by copies
+ * from peers. A copy holds the whole state or the writes after a revision. An
+ * instance can start or stop following the store at any time.
  */
-export const STATE_SPECS = [OVERTAKING_COPIES, RELAYS].map((scope) =>
+export const STATE_SPECS = [REORDERED_COPIES, RELAYED_COPIES].map((scope) =>
   createStateSpec({}, scope)
 );
 
-/** Faults of following the store that must be found. */
+/** Faults of instances that follow the store; the model checker must detect each. */
 export const STATE_MUTANTS: readonly Mutant[] = [
   {
-    name: "apply changes of a watch that are older than a peer's copy",
+    name: "apply changes from a watch that are older than a peer's copy",
     specification: createStateSpec({ appliesOldChanges: true }),
   },
   {
-    name: "apply a copy that is older than what is in force",
+    name: "apply a copy that is older than the state in force",
     specification: createStateSpec({ appliesOldCopies: true }),
   },
   {
-    name: "go on from the newest revision when the history is lost",
-    specification: createStateSpec({ skipsLostHistory: true }),
+    name: "continue from the newest revision when the history was compacted",
+    specification: createStateSpec({ skipsCompactedHistory: true }),
   },
   {
-    name: "apply a copy that goes on from more than is known",
-    specification: createStateSpec({ appliesCopiesWithGaps: true }, RELAYS),
+    name: "apply a partial copy that begins after the known revision",
+    specification: createStateSpec(
+      { appliesCopiesWithGaps: true },
+      RELAYED_COPIES,
+    ),
   },
   {
-    name: "follow the store again from its newest revision",
-    specification: createStateSpec({ resumesBeyondItsView: true }, RELAYS),
+    name: "resume the watch from the newest revision in place of the known one",
+    specification: createStateSpec(
+      { resumesFromNewestRevision: true },
+      RELAYED_COPIES,
+    ),
   },
 ];
 
 function createStateSpec(
   faults: StateFaults,
-  scope: StateScope = OVERTAKING_COPIES,
+  scope: StateScope = REORDERED_COPIES,
 ): Specification<StateSpecState> {
   return {
     name: scope.name,
     initial: {
       writes: [],
-      compacted: 0,
-      instances: Array.from({ length: INSTANCES }, () => FRESH_INSTANCE),
+      compactedRevision: 0,
+      instances: Array.from({ length: INSTANCE_COUNT }, () => INITIAL_INSTANCE),
       copies: [],
       restarts: 0,
     },
@@ -136,10 +142,11 @@
     invariants: [
       ...FOLLOWING_INVARIANTS,
       {
-        text: "what is in force at a revision is what was written up to it",
+        text:
+          "the state in force at a revision is the result of the writes up to it",
         holds: ({ instances, writes }) =>
           instances.every(({ view }) => {
-            const written = createView(writes, view.revision);
+            const written = buildView(writes, view.revision);
             return written.version === view.version &&
               written.isServerLeaving === view.isServerLeaving;
           }),
@@ -152,24 +159,24 @@
   state: StateSpecState,
   { isRelayed, maxCopies }: StateScope,
 ): readonly SpecEvent[] {
-  const { compacted, copies, instances, restarts, writes } = state;
-  const hasLeft = writes.includes("leaving");
-  const ofStore = [
+  const { compactedRevision, copies, instances, restarts, writes } = state;
+  const isLeaving = writes.includes("leaving");
+  const storeEvents = [
     ...(writes.length < MAX_WRITES ? [{ type: "configure" }] : []),
-    ...(writes.length < MAX_WRITES && !hasLeft ? [{ type: "leave" }] : []),
-    ...(compacted < writes.length ? [{ type: "compact" }] : []),
-    ...(copies.length < maxCopies ? [{ type: "read" }] : []),
+    ...(writes.length < MAX_WRITES && !isLeaving ? [{ type: "leave" }] : []),
+    ...(compactedRevision < writes.length ? [{ type: "compact" }] : []),
+    ...(copies.length < maxCopies ? [{ type: "readAll" }] : []),
   ];
-  const ofInstances = instances.flatMap(({ watchAfter }, index) => [
-    ...copies.map((_, at) => ({ type: `take(${index},${at})` })),
+  const instanceEvents = instances.flatMap(({ watchAfter }, index) => [
+    ...copies.map((_, at) => ({ type: `receive(${index},${at})` })),
     ...(watchAfter === undefined
       ? []
-      : listAnswers(watchAfter, writes.length).map((upTo) => ({
+      : listWatchEnds(watchAfter, writes.length).map((upTo) => ({
         type: `watch(${index},${upTo})`,
       }))),
     ...(copies.length < maxCopies
-      ? (isRelayed ? listAsked(instances, index) : [0]).map((after) => ({
-        type: `copy(${index},${after})`,
+      ? (isRelayed ? listCopyStarts(instances, index) : [0]).map((after) => ({
+        type: `send(${index},${after})`,
       }))
       : []),
     ...(isRelayed && watchAfter !== instances[index]!.view.revision
@@ -177,11 +184,14 @@
       : []),
     ...(restarts < 1 ? [{ type: `restart(${index})` }] : []),
   ]);
-  return [...ofStore, ...ofInstances];
+  return [...storeEvents, ...instanceEvents];
 }
 
-/** Revisions that copies of an instance are asked after: what another one knows, or nothing. */
-function listAsked(
+/**
+ * Returns the revisions after which another instance can ask this one for a copy: 0
+ * for a complete copy, or the revision that the other instance knows.
+ */
+function listCopyStarts(
   instances: readonly SpecInstance[],
   index: number,
 ): readonly number[] {
@@ -192,8 +202,8 @@
   return revision === 0 ? [] : [...new Set([0, ...known])];
 }
 
-/** Revisions that an answer to a watch may end at: it may have been on its way for a while. */
-function listAnswers(after: number, newest: number): readonly number[] {
+/** Returns the revisions at which a watch answer can end; a delayed one ends before the newest. */
+function listWatchEnds(after: number, newest: number): readonly number[] {
   return Array.from(
     { length: newest - after },
     (_, index) => after + 1 + index,
@@ -206,7 +216,7 @@
   faults: StateFaults,
 ): StateSpecState {
   const { name, numbers } = parseEvent(event);
-  const [index = 0, at = 0] = numbers;
+  const [index = 0, argument = 0] = numbers;
   const { copies, instances, restarts, writes } = state;
   const instance = instances[index]!;
   const withInstance = (changed: SpecInstance): StateSpecState => ({
@@ -219,40 +229,42 @@
     case "leave":
       return { ...state, writes: [...writes, "leaving"] };
     case "compact":
-      return { ...state, compacted: writes.length };
-    case "read":
+      return { ...state, compactedRevision: writes.length };
+    case "readAll":
       return {
         ...state,
         copies: [...copies, {
-          view: createView(writes, writes.length),
+          view: buildView(writes, writes.length),
           afterRevision: 0,
         }],
       };
-    case "copy":
+    case "send":
       return {
         ...state,
-        copies: [...copies, { view: instance.view, afterRevision: at }],
+        copies: [...copies, { view: instance.view, afterRevision: argument }],
       };
     case "follow":
       return withInstance({
         ...instance,
-        watchAfter: faults.resumesBeyondItsView
+        watchAfter: faults.resumesFromNewestRevision
           ? writes.length
           : instance.view.revision,
       });
     case "restart":
-      return { ...withInstance(FRESH_INSTANCE), restarts: restarts + 1 };
-    case "take":
-      return withInstance(takeCopy(writes, instance, copies[at]!, faults));
+      return { ...withInstance(INITIAL_INSTANCE), restarts: restarts + 1 };
+    case "receive":
+      return withInstance(
+        applyCopy(writes, instance, copies[argument]!, faults),
+      );
     case "watch":
-      return withInstance(watch(state, instance, at, faults));
+      return withInstance(applyWatchAnswer(state, instance, argument, faults));
     default:
-      throw new Error(`Unknown event ${event.type}`);
+      throw new Error(`Cannot apply event: got ${event.type}`);
   }
 }
 
-/** Takes a full read or a copy, and goes on watching from it. */
-function takeCopy(
+/** Applies a full read or a copy; an instance without a watch continues from its revision. */
+function applyCopy(
   writes: readonly SpecWrite[],
   instance: SpecInstance,
   { view, afterRevision }: SpecCopy,
@@ -260,27 +272,27 @@
 ): SpecInstance {
   const hasGap = afterRevision > instance.view.revision;
   if (hasGap && !faults.appliesCopiesWithGaps) return instance;
-  const isTaken = faults.appliesOldCopies ||
+  const isApplied = faults.appliesOldCopies ||
     mayReplace(
       { era: 0, revision: instance.view.revision },
       { era: 0, revision: view.revision },
     );
   const watchAfter = instance.watchAfter ?? view.revision;
-  if (!isTaken) return { ...instance, watchAfter };
-  const taken = afterRevision === 0
+  if (!isApplied) return { ...instance, watchAfter };
+  const applied = afterRevision === 0
     ? view
-    : applyPart(writes, instance.view, afterRevision, view.revision);
-  return enforceView({ ...instance, watchAfter }, taken);
+    : applyPartialCopy(writes, instance.view, afterRevision, view.revision);
+  return updateView({ ...instance, watchAfter }, applied);
 }
 
-/** Applies the writes after one revision up to another one. */
-function applyPart(
+/** Applies a copy that holds only the writes after one revision and up to another. */
+function applyPartialCopy(
   writes: readonly SpecWrite[],
   known: SpecView,
   after: number,
   upTo: number,
 ): SpecView {
-  const changes = listWrites(writes, after, upTo);
+  const changes = selectWrites(writes, after, upTo);
   const changed = pickFresh(known.revision, changes).reduce(
     (view, { revision, write }) => applyWrite(view, write, revision, writes),
     known,
@@ -288,7 +300,7 @@
   return { ...changed, revision: upTo };
 }
 
-function listWrites(
+function selectWrites(
   writes: readonly SpecWrite[],
   after: number,
   upTo: number,
@@ -297,22 +309,22 @@
     .filter(({ revision }) => revision > after && revision <= upTo);
 }
 
-function watch(
-  { compacted, writes }: StateSpecState,
+function applyWatchAnswer(
+  { compactedRevision, writes }: StateSpecState,
   instance: SpecInstance,
   upTo: number,
   faults: StateFaults,
 ): SpecInstance {
   const after = instance.watchAfter ?? 0;
-  if (after < compacted) {
-    return faults.skipsLostHistory
-      ? enforceView({ ...instance, watchAfter: writes.length }, {
+  if (after < compactedRevision) {
+    return faults.skipsCompactedHistory
+      ? updateView({ ...instance, watchAfter: writes.length }, {
         ...instance.view,
         revision: writes.length,
       })
       : { ...instance, watchAfter: undefined };
   }
-  const events = listWrites(writes, after, upTo);
+  const events = selectWrites(writes, after, upTo);
   const fresh = faults.appliesOldChanges
     ? events
     : pickFresh(instance.view.revision, events);
@@ -320,7 +332,7 @@
     (known, { revision, write }) => applyWrite(known, write, revision, writes),
     instance.view,
   );
-  return enforceView({ ...instance, watchAfter: upTo }, view);
+  return updateView({ ...instance, watchAfter: upTo }, view);
 }
 
 function applyWrite(
@@ -334,14 +346,14 @@
       return {
         ...view,
         revision,
-        version: createView(writes, revision).version,
+        version: buildView(writes, revision).version,
       };
     case "leaving":
       return { ...view, revision, isServerLeaving: true };
   }
 }
 
-/** What the writes up to a revision say. */
-function createView(writes: readonly SpecWrite[], revision: number): SpecView {
-  return { revision, ...readWrites(writes, revision) };
+/** Returns the view that the writes up to a revision result in. */
+function buildView(writes: readonly SpecWrite[], revision: number): SpecView {
+  return { revision, ...replayWrites(writes, revision) };
 }
