--- a/bench/batch_bench.ts
+++ b/bench/batch_bench.ts
@@ -12,15 +12,16 @@
 } from "./traffic.ts";
 
 const DURATION_MS = 60_000;
-const INTERACTIVE_RATE = 6;
-const AIM_MS = 770;
+const INTERACTIVE_CALLS_PER_SECOND = 6;
+/** Bound on the 95th percentile of the time to the first token of interactive calls. */
+const TARGET_P95_MS = 770;
 const BATCH_ITEMS = 700;
-/** Interactive calls that one sequence ends per second in this benchmark, as measured. */
+/** Interactive calls that one sequence completes per second in this benchmark. */
 const SERVED_PER_SECOND = 1.3;
-/** Mean wait that the threshold of the paper is computed for. */
-const PAPER_WAIT_MS = 77;
+/** Mean waiting time that the threshold of the paper's policy is computed for. */
+const PAPER_MEAN_WAIT_MS = 77;
 
-/** Measures batch behind interactive work, at the size of Atlas Folia's region. */
+/** Compares policies that run batch items behind interactive calls, at the size of Atlas Folia's region. */
 export async function runBatchBench(): Promise<BenchResult> {
   const policies: Readonly<Record<string, Policies>> = {
     "priority only": { computeThreshold: (servers) => servers * 10 },
@@ -34,16 +35,16 @@
       computeThreshold: (servers) =>
         computeThreshold({
           servers,
-          arrivalsPerSecond: INTERACTIVE_RATE,
+          arrivalsPerSecond: INTERACTIVE_CALLS_PER_SECOND,
           servedPerSecond: SERVED_PER_SECOND,
-        }, PAPER_WAIT_MS),
+        }, PAPER_MEAN_WAIT_MS),
     },
     "steered (havenspur)": {},
   };
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
   for (const [name, policy] of Object.entries(policies)) {
-    const run = await runOne(policy);
+    const run = await runPolicy(policy);
     rows.push([
       name,
       toCell(run.interactive.firstTokenP50, 0),
@@ -57,7 +58,8 @@
     figures[`${key}_per_second`] = run.batchPerSecond;
     figures[`${key}_cost`] = run.cost;
   }
-  figures.steered_p95_over_aim = figures["steered_havenspur__p95"]! / AIM_MS;
+  figures.steered_p95_over_aim = figures["steered_havenspur__p95"]! /
+    TARGET_P95_MS;
   figures.steered_items_over_half = figures["steered_havenspur__per_second"]! /
     figures["fixed_reserve_of_0_5_per_second"]!;
   return {
@@ -72,13 +74,13 @@
     rows,
     figures,
     notes: [
-      `${INTERACTIVE_RATE} interactive calls a second, ${BATCH_ITEMS} batch items that wait, ` +
+      `${INTERACTIVE_CALLS_PER_SECOND} interactive calls a second, ${BATCH_ITEMS} waiting batch items, ` +
       "1 new and 1 old engine",
     ],
   };
 }
 
-async function runOne(policies: Policies) {
+async function runPolicy(policies: Policies) {
   const fleet = new FakeFleet({ regions: ["r1"], policies });
   await fleet.clock.advance(3_000);
   await declareFleet(fleet, {
@@ -88,7 +90,7 @@
   const random = createRandom(5);
   const interactive = createSteadyArrivals({
     random,
-    rate: INTERACTIVE_RATE,
+    rate: INTERACTIVE_CALLS_PER_SECOND,
     daemons: 3,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
@@ -98,7 +100,7 @@
       outputTokens: 24,
     }),
   });
-  // The items come through workers that hold some at a time, as batches do.
+  // All items arrive within 300 ms, as from batch workers that each keep some in flight.
   const batch = Array.from({ length: BATCH_ITEMS }, (_, index): Arrival => ({
     ...createCall((index % 60) * 5, index % 3),
     priority: "batch",
--- a/bench/bench_case.ts
+++ b/bench/bench_case.ts
@@ -1,22 +1,23 @@
 import { formatTable } from "../bin/format_table.ts";
 
-/** What a benchmark brings. */
+/** Result of one benchmark. */
 export interface BenchResult {
+  /** Column headers of the table. */
   readonly head: readonly string[];
   readonly rows: readonly (readonly string[])[];
-  /** Figures by name; bounds in `baselines.json` are on these. */
+  /** Figures by name, which the bounds in `baselines.json` apply to. */
   readonly figures: Readonly<Record<string, number>>;
-  /** What the figures mean, in a line or two. Default: nothing. */
+  /** Lines that explain the figures, printed below the table. Default: none. */
   readonly notes?: readonly string[];
 }
 
-/** One benchmark. */
+/** Benchmark that can be run by its name. */
 export interface BenchCase {
   readonly name: string;
   readonly run: () => Promise<BenchResult>;
 }
 
-/** Prints a result: a table, notes, and one JSON line last. */
+/** Prints a result as a table and notes, followed by one line of JSON with the figures. */
 export function printResult(name: string, result: BenchResult): void {
   console.log(`\n${name}`);
   console.log(formatTable(result.head, result.rows));
@@ -24,12 +25,12 @@
   console.log(JSON.stringify({ bench: name, ...result.figures }));
 }
 
-/** Returns a number with as many digits as are worth reading. */
+/** Returns a number as text for a table cell, with a fixed number of decimals. */
 export function toCell(value: number, digits = 1): string {
   return value.toFixed(digits);
 }
 
-/** Returns the value at a share of a list, from 0 to 1. */
+/** Returns a quantile of values, or 0 without values; `share` goes from 0 to 1. */
 export function readQuantile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[
--- a/bench/run_bench.ts
+++ b/bench/run_bench.ts
@@ -41,36 +41,36 @@
   { name: "overhead", run: runOverheadBench },
 ];
 
-/** A bound on one figure: a count, or a ratio inside one run. */
+/** Bound on one figure, which is a count or a ratio of values of the same run. */
 interface Bound {
   readonly figure: string;
   readonly min?: number;
   readonly max?: number;
 }
 
-/** Too long for `all`. */
+/** Benchmarks that take too long to be part of `all`. */
 const LONG_CASES: readonly BenchCase[] = [{ name: "soak", run: runSoakBench }];
 
-const [wanted = "all"] = process.argv.slice(2);
-const cases = wanted === "all"
+const [requestedName = "all"] = process.argv.slice(2);
+const cases = requestedName === "all"
   ? CASES
-  : [...CASES, ...LONG_CASES].filter(({ name }) => name === wanted);
+  : [...CASES, ...LONG_CASES].filter(({ name }) => name === requestedName);
 if (cases.length === 0) {
   console.error(
-    `No benchmark "${wanted}": wanted all, ${
+    `Unknown benchmark "${requestedName}": expected all, ${
       CASES.map(({ name }) => name).join(", ")
     }`,
   );
   process.exit(2);
 }
 const bounds = readBounds();
-let broken = 0;
+let brokenBoundCount = 0;
 for (const { name, run } of cases) {
   const result = await run();
-  broken += checkBounds(name, result);
+  brokenBoundCount += checkBounds(name, result);
   printResult(name, result);
 }
-process.exit(broken === 0 ? 0 : 1);
+process.exit(brokenBoundCount === 0 ? 0 : 1);
 
 function readBounds(): Readonly<Record<string, readonly Bound[]>> {
   const text = readFileSync(
@@ -91,7 +91,7 @@
     console.error(
       `BOUND BROKEN ${name}: ${figure} is ${
         figures[figure]
-      }, wanted ${min} to ${max}`,
+      }, expected ${min} to ${max}`,
     )
   );
   return failures.length;
