--- a/bench/config_bench.ts
+++ b/bench/config_bench.ts
@@ -4,10 +4,10 @@
 
 const CHANGES = 40;
 const CHANGE_INTERVAL_MS = 1_500;
-const LONGEST_MS = 15_000;
+const MAX_WAIT_MS = 15_000;
 const STEP_MS = 2;
 
-/** Measures how fast a change is in force everywhere, and what it costs. */
+/** Measures how long a change takes to be in force everywhere, and the calls and bytes that it costs. */
 export async function runConfigBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
@@ -21,7 +21,7 @@
     ["calm, 60 daemons", "none", 20],
   ];
   for (const [name, fault, perRegion] of cases) {
-    const run = await runOne(fault, perRegion);
+    const run = await runCase(fault, perRegion);
     rows.push([
       name,
       toCell(run.p50, 0),
@@ -61,8 +61,8 @@
     rows,
     figures,
     notes: [
-      "from accepted to in force at every daemon that is up (for the cut: after it is back)",
-      "store calls with a waiting watch as one; the aim is 3 s",
+      "time from acceptance until in force at every daemon that is up (cut off: since its reconnection)",
+      "a waiting watch counts as one store call; the aim is 3 s",
       `burst: 100 changes at once through three daemons; ${burst.refused} refused`,
     ],
   };
@@ -70,20 +70,20 @@
 
 type Fault = "none" | "restarts" | "slow" | "loss" | "cut";
 
-async function runOne(fault: Fault, perRegion: number) {
+async function runCase(fault: Fault, perRegion: number) {
   const fleet = new FakeFleet({ daemonsPerRegion: perRegion });
   await fleet.clock.advance(4_000);
   if (fault === "slow") fleet.store.faults.latencyMs = 200;
   if (fault === "loss") fleet.network.lossShare = 0.05;
   const random = createRandom(23);
-  const tookMs: number[] = [];
-  const highest = new Map<string, number>();
+  const durationsMs: number[] = [];
+  const highestSequences = new Map<string, number>();
   let reverts = 0;
   const before = readCost(fleet);
   const startMs = fleet.clock.nowMs();
   for (let index = 0; index < CHANGES; index++) {
     if (fault === "restarts" && index % 5 === 0) {
-      restartThird(fleet, random.nextFloat());
+      restartThirdOfDaemons(fleet, random.nextFloat());
     }
     const isCut = fault === "cut" && index % 10 === 5;
     if (isCut) fleet.cutOff("r3");
@@ -104,9 +104,9 @@
     });
     let acceptedMs = 0;
     let waitedMs = 0;
-    for (; waitedMs < LONGEST_MS; waitedMs += STEP_MS) {
+    for (; waitedMs < MAX_WAIT_MS; waitedMs += STEP_MS) {
       await fleet.clock.advance(STEP_MS);
-      reverts += countReverts(fleet, highest);
+      reverts += countReverts(fleet, highestSequences);
       if (sequence > 0 && acceptedMs === 0) acceptedMs = fleet.clock.nowMs();
       if (isCut && waitedMs >= 3_000 && fleet.network.cutRegions.size > 0) {
         fleet.rejoin("r3");
@@ -120,7 +120,7 @@
       }
     }
     if (sequence > 0) {
-      tookMs.push(Math.max(0, fleet.clock.nowMs() - acceptedMs));
+      durationsMs.push(Math.max(0, fleet.clock.nowMs() - acceptedMs));
     }
     await fleet.clock.advance(Math.max(0, CHANGE_INTERVAL_MS - waitedMs));
   }
@@ -128,8 +128,8 @@
   const after = readCost(fleet);
   fleet.stop();
   return {
-    p50: readQuantile(tookMs, 0.5),
-    max: Math.max(...tookMs),
+    p50: readQuantile(durationsMs, 0.5),
+    max: Math.max(...durationsMs),
     reverts,
     callsPerSecond: (after.storeCalls - before.storeCalls) / seconds,
     bytesPerChange: (after.callBytes - before.callBytes) / CHANGES /
@@ -159,7 +159,7 @@
       if (each.kind === "whole" && each.status !== 200) refused++;
     })
   );
-  const tookMs: number[] = [];
+  const durationsMs: number[] = [];
   for (let waitedMs = 0; waitedMs < 60_000; waitedMs += STEP_MS) {
     await fleet.clock.advance(STEP_MS);
     const sequences = fleet.daemons.map(({ gateway }) =>
@@ -168,14 +168,14 @@
     const isSame = Math.min(...sequences) === Math.max(...sequences);
     if (done === 100 && isSame) break;
   }
-  tookMs.push(fleet.clock.nowMs() - startMs);
+  durationsMs.push(fleet.clock.nowMs() - startMs);
   const after = readCost(fleet);
   const accepted = fleet.daemons[0]!.gateway.configuration.sequence;
   fleet.stop();
   return {
     refused,
-    p50: tookMs[0]!,
-    max: tookMs[0]!,
+    p50: durationsMs[0]!,
+    max: durationsMs[0]!,
     bytesPerChange: (after.callBytes - before.callBytes) /
       Math.max(1, accepted) / 9,
   };
@@ -192,7 +192,7 @@
   };
 }
 
-function restartThird(fleet: FakeFleet, share: number): void {
+function restartThirdOfDaemons(fleet: FakeFleet, share: number): void {
   const offset = Math.floor(share * 3);
   fleet.daemons.filter((_, index) => index % 3 === offset).forEach((daemon) => {
     fleet.kill(daemon);
@@ -200,11 +200,17 @@
   });
 }
 
-/** A daemon that restarts begins anew; one that is up must never go back. */
-function countReverts(fleet: FakeFleet, highest: Map<string, number>): number {
+/**
+ * Counts daemons whose sequence is lower than before. A restarted daemon has a new
+ * incarnation and may begin again; one that stays up must never go back.
+ */
+function countReverts(
+  fleet: FakeFleet,
+  highestSequences: Map<string, number>,
+): number {
   return fleet.daemons.filter(({ gateway }) => {
-    const known = highest.get(gateway.incarnation) ?? 0;
-    highest.set(
+    const known = highestSequences.get(gateway.incarnation) ?? 0;
+    highestSequences.set(
       gateway.incarnation,
       Math.max(known, gateway.configuration.sequence),
     );
--- a/bench/control_bench.ts
+++ b/bench/control_bench.ts
@@ -2,7 +2,7 @@
 import { FakeFleet, hashToken } from "../standin/mod.ts";
 import { type BenchResult, toCell } from "./bench_case.ts";
 
-/** Sizes: daemons of each of 3 regions, and the share of the size to come that is declared. */
+/** Daemons in each of 3 regions, and the share of the planned catalog that is declared. */
 const SIZES: readonly (readonly [perRegion: number, share: number])[] = [
   [3, 0.01],
   [3, 0.1],
@@ -11,16 +11,17 @@
   [9, 0.1],
   [15, 0.1],
 ];
+/** Engines and teams of the planned catalog. */
 const ENGINES = 2_700;
 const TEAMS = 1_000;
 const RUN_MS = 20_000;
 
-/** Measures what control costs a daemon, over the size of the catalog and of the fleet. */
+/** Measures what the control plane costs a daemon, by sizes of the catalog and of the fleet. */
 export async function runControlBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
   for (const [perRegion, share] of SIZES) {
-    const run = await runOne(perRegion, share);
+    const run = await runSize(perRegion, share);
     rows.push([
       String(perRegion * 3),
       String(Math.round(ENGINES * share)),
@@ -58,13 +59,13 @@
     rows,
     figures,
     notes: [
-      "for each daemon; engines and teams spread evenly over 3 regions; heap: what one more copy",
-      "of the catalog with its indexes holds; CPU: of the whole fleet and its fakes over its size",
+      "for each daemon; engines and teams are spread evenly over 3 regions; heap: what one more copy",
+      "of the catalog takes with its indexes; CPU: that of the whole fleet and its fakes, per daemon",
     ],
   };
 }
 
-async function runOne(perRegion: number, share: number) {
+async function runSize(perRegion: number, share: number) {
   const fleet = new FakeFleet({
     daemonsPerRegion: perRegion,
     storeCallsPerSecond: 2_000,
@@ -86,20 +87,20 @@
   const after = readCounts(fleet);
   const daemons = fleet.daemons.length;
   const seconds = RUN_MS / 1_000;
-  const victim = fleet.daemons.at(-1)!;
-  fleet.kill(victim);
-  const calm = readCounts(fleet);
+  const stoppedDaemon = fleet.daemons.at(-1)!;
+  fleet.kill(stoppedDaemon);
+  const beforeIdle = readCounts(fleet);
   await fleet.clock.advance(10_000);
-  const idle = readCounts(fleet);
-  const restarted = fleet.start(victim.record);
+  const beforeRestart = readCounts(fleet);
+  const restarted = fleet.start(stoppedDaemon.record);
   await fleet.clock.advance(10_000);
-  const restart = readCounts(fleet);
-  const isBack =
+  const afterRestart = readCounts(fleet);
+  const isUpToDate =
     restarted.gateway.configuration.sequence === configuration.sequence;
   fleet.stop();
-  if (!isBack) {
+  if (!isUpToDate) {
     throw new Error(
-      "The daemon did not get the configuration after its restart",
+      "Restarted daemon did not reach the configuration sequence of the fleet within 10 s",
     );
   }
   return {
@@ -109,14 +110,16 @@
     cpuMillis: (spent.user + spent.system) / 1_000 / seconds / daemons,
     sentBytes: (after.sent - before.sent) / seconds / daemons,
     callBytes: (after.calls - before.calls) / seconds / daemons,
-    restartKilobytes: (restart.calls - idle.calls - (idle.calls - calm.calls)) /
+    restartKilobytes: (afterRestart.calls - beforeRestart.calls -
+      (beforeRestart.calls - beforeIdle.calls)) /
       1_000,
     storeCalls: (after.store - before.store) / seconds / daemons,
-    restartStoreCalls: restart.store - idle.store - (idle.store - calm.store),
+    restartStoreCalls: afterRestart.store - beforeRestart.store -
+      (beforeRestart.store - beforeIdle.store),
   };
 }
 
-/** Heap that one more copy of a catalog with its indexes holds, in MB. */
+/** Returns the heap that one more copy of a catalog takes with its indexes, in MB. */
 function measureHeap(text: string): number {
   globalThis.gc?.();
   const before = process.memoryUsage().heapUsed;
@@ -132,6 +135,7 @@
   return (after - before) / copies.length / 1_000_000;
 }
 
+/** Returns the mean time to apply one change to a copy of the configuration, in milliseconds. */
 async function measureApply(fleet: FakeFleet): Promise<number> {
   const { configuration } = fleet.daemons[0]!.gateway;
   const state = new ConfigurationState();
--- a/bench/crowd_bench.ts
+++ b/bench/crowd_bench.ts
@@ -14,7 +14,7 @@
   VirtualEngine,
 } from "./virtual_engine.ts";
 
-/** Instances and engines of one region, and the factor on its calls. */
+/** Instances and engines of one region, and the factor on its call rate. */
 const SIZES = [
   { instances: 3, engines: 10, load: 1 },
   { instances: 23, engines: 10, load: 1 },
@@ -24,17 +24,17 @@
   { instances: 65, engines: 10, load: 3 },
 ] as const;
 const SEEDS = [1, 2, 3] as const;
-const WARM_MS = 4_000;
+const WARM_UP_MS = 4_000;
 const RUN_MS = 10_000;
 const HOST = "app.example";
 
-/** The users' kinds of streams on their largest fleet; a third of their calls. */
+/** Kinds of streams on the users' largest fleet, at a third of its call rate. */
 const KINDS = [
   {
     name: "long",
     perSecond: 14.5,
     sharedTokens: 13_300,
-    sharedParts: 60,
+    sharedPrefixCount: 60,
     ownTokens: 3_720,
     events: 20,
     targetMs: 1_014,
@@ -44,7 +44,7 @@
     name: "short",
     perSecond: 200,
     sharedTokens: 92,
-    sharedParts: 12,
+    sharedPrefixCount: 12,
     ownTokens: 291,
     events: 8,
     targetMs: 805,
@@ -91,25 +91,28 @@
   teams: undefined,
 });
 
-interface Measured {
+interface Measurement {
+  /** Fraction of the calls of each kind whose first event came within the target. */
   readonly inTime: readonly number[];
+  /** Times to the first event of the calls of each kind. */
   readonly firstEventMs: readonly (readonly number[])[];
-  /** Most calls at one engine over the mean of all, on average over looks. */
+  /** Largest number of calls at one engine over the mean of all engines, averaged over samples. */
   readonly crowding: number;
-  readonly readPerCall: number;
+  /** Prompt tokens that engines processed per call, cached ones excluded. */
+  readonly prefillTokensPerCall: number;
 }
 
 /**
- * Measures how instances that all see the same picture choose among the same
- * engines: the users' streams on a virtual clock, which repeats exactly.
+ * Measures how evenly instances that all know the same loads spread calls over
+ * the same engines. The users' streams run on a virtual clock, so results repeat exactly.
  */
 export async function runCrowdBench(): Promise<BenchResult> {
   const figures: Record<string, number> = {};
   const rows: string[][] = [];
   for (const size of SIZES) {
-    const runs: Measured[] = [];
+    const runs: Measurement[] = [];
     for (const seed of SEEDS) runs.push(await measure(size, seed));
-    const mean = (read: (run: Measured) => number) =>
+    const mean = (read: (run: Measurement) => number) =>
       runs.reduce((sum, run) => sum + read(run), 0) / runs.length;
     const [long, short] = KINDS.map((_, at) => mean((run) => run.inTime[at]!));
     const crowding = mean((run) => run.crowding);
@@ -131,7 +134,7 @@
         0,
       ),
       toCell(crowding, 2),
-      toCell(mean(({ readPerCall }) => readPerCall), 0),
+      toCell(mean(({ prefillTokensPerCall }) => prefillTokensPerCall), 0),
     ]);
   }
   return {
@@ -153,35 +156,35 @@
 async function measure(
   { engines, instances, load }: typeof SIZES[number],
   seed: number,
-): Promise<Measured> {
+): Promise<Measurement> {
   const clock = new VirtualClock();
   const random = createRandom(seed);
-  const ended = new AbortController();
+  const stopped = new AbortController();
   const servers = new Map(
     Array.from({ length: engines }, (_, at) => [
       `e${at}:1`,
       new VirtualEngine({ ...ENGINE, clock }),
     ]),
   );
-  const gateways = startGateways(instances, servers, clock, ended.signal);
-  await clock.advance(WARM_MS);
-  const first = KINDS.map((): number[] => []);
-  const counts = KINDS.map(() => ({ asked: 0, inTime: 0 }));
+  const gateways = startGateways(instances, servers, clock, stopped.signal);
+  await clock.advance(WARM_UP_MS);
+  const firstEventDelaysMs = KINDS.map((): number[] => []);
+  const counts = KINDS.map(() => ({ started: 0, inTime: 0 }));
   const endMs = clock.nowMs() + RUN_MS;
-  const ask = (kind: number) => {
+  const startCall = (kind: number) => {
     const { targetMs } = KINDS[kind]!;
     const startMs = clock.nowMs();
-    counts[kind]!.asked++;
+    counts[kind]!.started++;
     const gateway = gateways[Math.floor(random.nextFloat() * gateways.length)]!;
-    let hasBegun = false;
+    let hasFirstEvent = false;
     void gateway.handle(createCall(kind, startMs, random), {
-      signal: ended.signal,
+      signal: stopped.signal,
       begin: () => {},
       write: () => {
-        if (hasBegun) return true;
-        hasBegun = true;
+        if (hasFirstEvent) return true;
+        hasFirstEvent = true;
         const waitedMs = clock.nowMs() - startMs;
-        first[kind]!.push(waitedMs);
+        firstEventDelaysMs[kind]!.push(waitedMs);
         if (waitedMs <= targetMs) counts[kind]!.inTime++;
         return true;
       },
@@ -190,12 +193,15 @@
       breakOff: () => {},
     });
   };
-  const arrive = (kind: number) => {
+  const startCalls = (kind: number) => {
     if (clock.nowMs() >= endMs) return;
-    ask(kind);
-    clock.schedule(pickPauseMs(kind, load, random), () => arrive(kind));
+    startCall(kind);
+    clock.schedule(
+      drawInterArrivalMs(kind, load, random),
+      () => startCalls(kind),
+    );
   };
-  KINDS.forEach((_, kind) => arrive(kind));
+  KINDS.forEach((_, kind) => startCalls(kind));
   const crowding: number[] = [];
   while (clock.nowMs() < endMs) {
     await clock.advance(50);
@@ -204,19 +210,19 @@
     if (total > 0) crowding.push(Math.max(...calls) * calls.length / total);
   }
   await clock.advance(8_000);
-  ended.abort("measured");
-  const asked = counts.reduce((sum, each) => sum + each.asked, 0);
+  stopped.abort("measured");
+  const started = counts.reduce((sum, each) => sum + each.started, 0);
   const read = [...servers.values()]
     .reduce((sum, { readTokens }) => sum + readTokens, 0);
   return {
-    inTime: counts.map((each) => each.inTime / each.asked),
-    firstEventMs: first,
+    inTime: counts.map((each) => each.inTime / each.started),
+    firstEventMs: firstEventDelaysMs,
     crowding: crowding.reduce((sum, each) => sum + each, 0) / crowding.length,
-    readPerCall: read / asked,
+    prefillTokensPerCall: read / started,
   };
 }
 
-/** Starts the instances of a region, whose reports travel in a millisecond. */
+/** Starts the instances of a region; reports between them take 1 ms. */
 function startGateways(
   count: number,
   servers: ReadonlyMap<string, VirtualEngine>,
@@ -267,8 +273,9 @@
 }
 
 function createCall(kind: number, receivedMs: number, random: Random) {
-  const { events, name, ownTokens, sharedParts, sharedTokens } = KINDS[kind]!;
-  const shared = Math.floor(random.nextFloat() * sharedParts);
+  const { events, name, ownTokens, sharedPrefixCount, sharedTokens } =
+    KINDS[kind]!;
+  const shared = Math.floor(random.nextFloat() * sharedPrefixCount);
   const own = Math.floor(random.nextFloat() * 2 ** 31).toString(16);
   const headers = [
     "Host",
@@ -293,8 +300,12 @@
   };
 }
 
-/** Returns the time to the next call of a kind: calls come independently of each other. */
-function pickPauseMs(kind: number, load: number, random: Random): number {
+/** Returns the time until the next call of a kind: calls arrive independently of each other. */
+function drawInterArrivalMs(
+  kind: number,
+  load: number,
+  random: Random,
+): number {
   return -1_000 * Math.log(1 - random.nextFloat()) /
     (load * KINDS[kind]!.perSecond);
 }
