--- a/bench/fleet_resources.ts
+++ b/bench/fleet_resources.ts
@@ -6,30 +6,32 @@
   OLD_ENGINE,
 } from "../standin/mod.ts";
 
-/** Engines of one region. */
+/** Numbers of engines in one region. */
 export interface RegionEngines {
   readonly region: string;
+  /** Engines with the speed of `NEW_ENGINE`. */
   readonly fresh: number;
+  /** Engines with the speed of `OLD_ENGINE`. */
   readonly old: number;
 }
 
-/** What a fleet serves. */
+/** Engines and teams of a fleet, and settings of its service. */
 export interface FleetPlan {
   readonly engines: readonly RegionEngines[];
-  /** Weights of the service. Default: latency 1, cost 0. */
+  /** Weights of latency and cost in the choice of an engine. Default: latency 1, cost 0. */
   readonly weights?: { readonly latency: number; readonly cost: number };
-  /** Limit of each team. Default: out of reach. */
+  /** Limit of each team. Default: 1 million, which no benchmark reaches. */
   readonly requestsPerSecond?: number;
-  /** Number of teams, `team-0` and on. Default: 1. */
+  /** Number of teams, which are named `team-0`, `team-1` and so on. Default: 1. */
   readonly teams?: number;
 }
 
-/** Model that fleets serve. */
+/** Name of the model that fleets serve. */
 export const FLEET_MODEL = "model-a";
 const SERVICE = "service-a";
 
 /**
- * Declares a service with engines and teams, and waits until it is in force.
+ * Declares a service with its engines and teams, and waits until they are in force.
  *
  * @param fleet A fresh fleet.
  * @param plan Engines and teams.
@@ -80,7 +82,7 @@
   speed: EngineSpeed,
 ) {
   const id = `${region}-${name}`;
-  // Addresses of engines are numbers; the fakes find them by the port.
+  // Engine addresses are numeric, and the fakes find an engine by its port.
   const url = `http://127.0.0.1:${10_000 + fleet.backend.engines.size}`;
   fleet.backend.addEngine(url, region, speed);
   return {
--- a/bench/idle_bench.ts
+++ b/bench/idle_bench.ts
@@ -12,10 +12,10 @@
   new URL("../../examples/torra-nordeste", import.meta.url),
 );
 const DAEMON = fileURLToPath(new URL("../bin/havenspurd.js", import.meta.url));
-const WARM_MS = 5_000;
+const WARM_UP_MS = 5_000;
 const RUN_MS = 15_000;
 
-/** Measures daemons without load, over real sockets: processor time, bytes, and a process's memory. */
+/** Measures daemons without load over real sockets: processor time, heartbeat bytes, and the memory of one process. */
 export async function runIdleBench(): Promise<BenchResult> {
   const deployment = await startDeployment(EXAMPLE);
   const { daemons } = deployment;
@@ -26,7 +26,7 @@
   await operator.call("POST", "/api/v1/changes", {
     changes: deployment.resources,
   });
-  await wait(WARM_MS);
+  await wait(WARM_UP_MS);
   const sentBefore = daemons.map(({ peerBytes }) => peerBytes.sent);
   const cpu = process.cpuUsage();
   await wait(RUN_MS);
@@ -37,15 +37,15 @@
   );
   const cpuMillis = (spent.user + spent.system) / 1_000 / seconds /
     daemons.length;
-  const residentMegabytes = await measureProcess(
+  const residentMegabytes = await measureResidentMegabytes(
     deployment.standins.platform.url,
   );
   await deployment.stop();
   return {
     head: [
       "CPU MS/S",
-      "HEARTBEATS SENT B/S, LEAST",
-      "MOST",
+      "HEARTBEATS SENT B/S, MIN",
+      "MAX",
       "RESIDENT MB OF ONE PROCESS",
     ],
     rows: [[
@@ -60,13 +60,13 @@
       resident: residentMegabytes,
     },
     notes: [
-      "for each of nine daemons in one process, their part of the stand-ins included",
+      "CPU and bytes for each of nine daemons in one process, which includes the stand-ins",
     ],
   };
 }
 
-/** Resident memory of a daemon in a process of its own, in MB. */
-async function measureProcess(platformUrl: string): Promise<number> {
+/** Returns the resident memory of a daemon in a process of its own, in MB. */
+async function measureResidentMegabytes(platformUrl: string): Promise<number> {
   const folder = mkdtempSync(join(tmpdir(), "havenspur-"));
   const file = join(folder, "idle.toml");
   const settings = readFileSync(
@@ -78,7 +78,7 @@
   writeFileSync(file, settings);
   const child = spawn(process.execPath, [DAEMON, "--settings", file]);
   child.stdout.resume();
-  await wait(WARM_MS);
+  await wait(WARM_UP_MS);
   const status = readFileSync(`/proc/${child.pid}/status`, "utf8");
   child.kill("SIGKILL");
   await once(child, "exit");
--- a/bench/instant_backend.ts
+++ b/bench/instant_backend.ts
@@ -3,8 +3,8 @@
 import type { AddressInfo } from "node:net";
 import { parentPort } from "node:worker_threads";
 
-/** A stream longer than this is held open after its first event. */
-const HOLD_ABOVE = 100_000;
+/** A stream of more tokens than this stays open after its first event. */
+const MAX_COMPLETED_TOKENS = 100_000;
 
 const server = createServer((message, response) => {
   const chunks: Buffer[] = [];
@@ -23,7 +23,7 @@
     const write = (index: number, data: string) =>
       response.write(`id: ${attempt}/${index}\ndata: ${data}\n\n`);
     response.writeHead(200, { "content-type": "text/event-stream" });
-    const isHeld = body.max_tokens > HOLD_ABOVE;
+    const isHeld = body.max_tokens > MAX_COMPLETED_TOKENS;
     const tokens = isHeld ? 1 : body.max_tokens;
     for (let index = 0; index < tokens; index++) {
       write(
--- a/bench/journal_bench.ts
+++ b/bench/journal_bench.ts
@@ -17,23 +17,28 @@
 import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
 
 const DURATION_MS = 20_000;
-const STORE_MS = 3;
-const NEAR_MS = 1.5;
-const FAR_MS = 25;
+const STORE_LATENCY_MS = 3;
+/** One-way latency between instances of the same region. */
+const LOCAL_LATENCY_MS = 1.5;
+/** One-way latency between instances of different regions. */
+const REMOTE_LATENCY_MS = 25;
+/** Time that a run takes after the journal granted it. */
 const RUN_MS = 40;
 
-/** One way to keep the journal. */
+/** Kind of run journal, with its options. */
 interface Variant {
   readonly name: string;
+  /** Number of shards; with 0, each run has a key of its own in the store. */
   readonly shards: number;
+  /** Time that a shard collects records for one write. */
   readonly gatherMs: number;
-  /** All daemons in one region, or three regions. */
+  /** Number of regions that the daemons are spread over: 1 or 3. */
   readonly regions: number;
-  /** Whether keys name the region that their caller uses. Default: no. */
+  /** Whether each key names the region that its caller uses. Default: false. */
   readonly hasHome?: boolean;
 }
 
-/** Measures the run journal: a key for each run against group commit on shards. */
+/** Compares run journals: a key for each run, and group commit on shards. */
 export async function runJournalBench(): Promise<BenchResult> {
   const variants: readonly Variant[] = [
     { name: "key per run", shards: 0, gatherMs: 0, regions: 3 },
@@ -63,7 +68,7 @@
     for (
       const [rate, daemons] of [[60, 9], [120, 9], [240, 9], [120, 27]] as const
     ) {
-      const run = await runOne(variant, rate, daemons);
+      const run = await runVariant(variant, rate, daemons);
       rows.push([
         variant.name,
         String(rate),
@@ -98,17 +103,17 @@
     rows,
     figures,
     notes: [
-      `store ${STORE_MS} ms, peers ${NEAR_MS} ms near and ${FAR_MS} ms far, one way; ` +
+      `store ${STORE_LATENCY_MS} ms, peers ${LOCAL_LATENCY_MS} ms in a region and ${REMOTE_LATENCY_MS} ms between regions, one way; ` +
       "aim: 120 runs a second for under 150 writes, under 15 ms added at the median",
     ],
   };
 }
 
-async function runOne(variant: Variant, rate: number, daemons: number) {
+async function runVariant(variant: Variant, rate: number, daemons: number) {
   const clock = new VirtualClock();
   const random = createRandom(17);
   const store = new MemoryStore(clock);
-  store.faults.latencyMs = STORE_MS;
+  store.faults.latencyMs = STORE_LATENCY_MS;
   const ids = Array.from(
     { length: daemons },
     (_, index) => toInstanceId(`i${index}`),
@@ -130,7 +135,7 @@
       ? `r${ids.indexOf(id) % variant.regions}~`
       : "";
     clock.schedule(atMs, () => void runKey(`${home}key-${index}`, id));
-    // One caller in twenty tries again elsewhere at about the same time.
+    // One caller in twenty sends its run a second time within 20 ms, to a daemon picked at random.
     if (index % 20 === 0) {
       const other = ids[Math.floor(random.nextFloat() * ids.length)]!;
       clock.schedule(
@@ -177,23 +182,23 @@
 function createJournal(
   variant: Variant,
   self: InstanceId,
-  world: {
+  dependencies: {
     readonly clock: VirtualClock;
     readonly store: MemoryStore;
     readonly ids: readonly InstanceId[];
     readonly journals: ReadonlyMap<InstanceId, RunJournal>;
   },
 ): RunJournal {
-  const { clock, store, ids, journals } = world;
+  const { clock, store, ids, journals } = dependencies;
   const random = createRandom(ids.indexOf(self) + 100);
   const isGone = () => false;
   if (variant.shards === 0) {
     return new KeyJournal({ store, clock, random, isGone });
   }
   const readLatencyMs = (to: InstanceId) => {
-    const isNear =
+    const isLocal =
       ids.indexOf(to) % variant.regions === ids.indexOf(self) % variant.regions;
-    return isNear ? NEAR_MS : FAR_MS;
+    return isLocal ? LOCAL_LATENCY_MS : REMOTE_LATENCY_MS;
   };
   return new ShardedJournal({
     store,
