--- a/bench/grants_fleet.ts
+++ b/bench/grants_fleet.ts
@@ -7,8 +7,9 @@
   TICK_MS,
 } from "./limit_fleet.ts";
 
-/** How long a grant may be spent, in milliseconds. */
+/** Time during which a grant may be spent, in milliseconds. */
 const GRANT_MS = 1_000;
+/** Weight of the former mean in the moving average of demand. */
 const DEMAND_MEMORY = 0.7;
 
 interface Grant {
@@ -17,55 +18,55 @@
   readonly untilMs: number;
 }
 
-/** One instance that grants timed budgets by what the others ask for. */
+/** Fleet in which one instance grants the others budgets for a time, in proportion to their demand. */
 export class GrantsFleet implements LimitFleet {
   sent = 0;
   readonly #parts: LimitFleetParts;
   readonly #grants: Grant[][];
   readonly #demand: number[];
-  readonly #asked: number[];
-  /** What calls took beyond their grants, one call at the most: later grants pay it. */
+  readonly #requested: number[];
+  /** Weight admitted beyond the grants, of one call at most, which later grants repay. */
   readonly #debt: number[];
   #limit: TeamLimit;
   #tokens: number;
   #atMs = 0;
 
-  /** @param parts Size, and who hears whom. */
+  /** @param parts Size and limit of the fleet, and the state of its instances and network. */
   constructor(parts: LimitFleetParts) {
     this.#parts = parts;
     this.#limit = parts.limit;
     this.#tokens = parts.limit.burst;
     this.#grants = Array.from({ length: parts.instances }, () => []);
     this.#demand = this.#grants.map(() => 0);
-    this.#asked = this.#grants.map(() => 0);
+    this.#requested = this.#grants.map(() => 0);
     this.#debt = this.#grants.map(() => 0);
   }
 
   admit({ atMs, instance, weight }: LimitArrival): boolean {
-    this.#asked[instance]! += weight;
+    this.#requested[instance]! += weight;
     const grants = this.#grants[instance]!
       .filter(({ untilMs }) => untilMs > atMs);
     this.#grants[instance] = grants;
     const usable = grants.filter(({ fromMs }) => fromMs <= atMs);
     const left = usable.reduce((sum, grant) => sum + grant.left, 0);
     if (left <= 0) return false;
-    let due = weight;
+    let unpaid = weight;
     usable.forEach((grant) => {
-      const taken = Math.min(due, Math.max(0, grant.left));
-      grant.left -= taken;
-      due -= taken;
+      const spent = Math.min(unpaid, Math.max(0, grant.left));
+      grant.left -= spent;
+      unpaid -= spent;
     });
-    this.#debt[instance]! += due;
+    this.#debt[instance]! += unpaid;
     return true;
   }
 
   tick(nowMs: number): void {
     const { isFrozen, isHeard } = this.#parts;
     const owner = 0;
-    this.#asked.forEach((asked, at) => {
+    this.#requested.forEach((requested, at) => {
       this.#demand[at] = DEMAND_MEMORY * this.#demand[at]! +
-        (1 - DEMAND_MEMORY) * asked;
-      this.#asked[at] = 0;
+        (1 - DEMAND_MEMORY) * requested;
+      this.#requested[at] = 0;
     });
     if (isFrozen(owner, nowMs)) return;
     const { burst, perSecond } = this.#limit;
@@ -74,25 +75,25 @@
       this.#tokens + perSecond * (nowMs - this.#atMs) / 1_000,
     );
     this.#atMs = nowMs;
-    const asking = this.#demand.map((demand, at) =>
+    const demands = this.#demand.map((demand, at) =>
       isHeard(at, owner, nowMs) && !isFrozen(at, nowMs) ? demand : 0
     );
-    const total = asking.reduce((sum, demand) => sum + demand, 0);
+    const total = demands.reduce((sum, demand) => sum + demand, 0);
     if (total <= 0) return;
     const given = Math.min(this.#tokens, 1.5 * total);
     this.#tokens -= given;
-    asking.forEach((demand, at) => {
+    demands.forEach((demand, at) => {
       if (demand <= 0) return;
       this.sent += 2;
-      const ageMs = readRegion(at) === readRegion(owner) ? 4 : 110;
+      const latencyMs = readRegion(at) === readRegion(owner) ? 4 : 110;
       if (!isHeard(owner, at, nowMs)) return;
       const granted = given * demand / total;
-      const paid = Math.min(granted, this.#debt[at]!);
-      this.#debt[at]! -= paid;
+      const repaid = Math.min(granted, this.#debt[at]!);
+      this.#debt[at]! -= repaid;
       this.#grants[at]!.push({
-        left: granted - paid,
-        fromMs: nowMs + ageMs,
-        untilMs: nowMs + ageMs + GRANT_MS,
+        left: granted - repaid,
+        fromMs: nowMs + latencyMs,
+        untilMs: nowMs + latencyMs + GRANT_MS,
       });
     });
   }
--- a/bench/limit_cases.ts
+++ b/bench/limit_cases.ts
@@ -3,50 +3,52 @@
 import type { TeamLimit } from "../teams/mod.ts";
 import {
   type LimitArrival,
+  type LimitFault,
   type LimitFleet,
   type LimitFleetParts,
-  type LimitTrouble,
   readRegion,
   REGIONS,
   TICK_MS,
 } from "./limit_fleet.ts";
 
-/** One load on one team. */
+/** Load on one team, and the faults that happen meanwhile. */
 export interface LimitCase {
   readonly name: string;
   readonly limit: TeamLimit;
-  /** Demand of a region at a time, as a part of the limit. */
+  /** Returns the demand of a region at a time, as a fraction of the limit. */
   readonly readDemand: (region: number, atMs: number) => number;
-  /** Whether the mean of what is asked lies inside the limit. */
+  /** Whether the mean demand lies inside the limit. */
   readonly isInside: boolean;
-  readonly troubles: readonly LimitTrouble[];
+  readonly faults: readonly LimitFault[];
 }
 
-/** What a fleet made of a load. */
+/** How a fleet handled a load. */
 export interface LimitOutcome {
-  /** Most weight of any window, as a part of what the bounds allow. */
+  /** Largest weight admitted in any window, as a fraction of what the bounds allow. */
   readonly ofBound: number;
-  /** Part admitted of the calls that one bucket for all would admit. */
+  /** Fraction admitted of the calls that a single bucket for all instances would admit. */
   readonly admitted: number;
-  /** Weight admitted a second, as a part of the limit. */
+  /** Weight admitted per second, as a fraction of the limit. */
   readonly ofLimit: number;
-  /** Part admitted of the heaviest tenth of calls, less that of all. */
+  /** Fraction admitted of the heaviest tenth of calls, minus that of all calls. */
   readonly heaviest: number;
-  /** Rows or messages of one instance a second. */
+  /** Rows or messages that one instance sends per second. */
   readonly sentPerSecond: number;
 }
 
+/** Bounds that the admitted weight is held against. */
 export const LIMIT_BOUNDS: LimitBounds = {
   windowMs: 8_000,
   overshoot: 0.1,
   slack: 190_000,
 };
 const DURATION_MS = 30_000;
-/** Long prompts and short questions, as the users' sheet mixes them. */
-const LONG_PART = 0.04;
-const LONG_MEAN = 17_000;
-const SHORT_MEAN = 430;
-const MEAN_WEIGHT = LONG_PART * LONG_MEAN + (1 - LONG_PART) * SHORT_MEAN;
+/** Fraction of calls with long prompts, as in the users' sheet; the others are short questions. */
+const LONG_FRACTION = 0.04;
+const LONG_MEAN_TOKENS = 17_000;
+const SHORT_MEAN_TOKENS = 430;
+const MEAN_TOKENS = LONG_FRACTION * LONG_MEAN_TOKENS +
+  (1 - LONG_FRACTION) * SHORT_MEAN_TOKENS;
 
 function toLimit(perSecond: number): TeamLimit {
   return { unit: "tokens", perSecond, burst: perSecond, plainTokens: 200 };
@@ -54,22 +56,31 @@
 
 const LARGE = toLimit(720_000);
 const SMALL = toLimit(47_000);
-const spread = (factor: number) => () => factor / REGIONS.length;
-/** The demand of each region goes from 0.17 to 2.8 of its mean, one after the other. */
-const walk = (factor: number) => (region: number, atMs: number) => {
-  const place = (atMs / 9_000 + region) % REGIONS.length;
-  const isPeak = place < 1;
+/** Creates a demand that is the same in each region at all times. */
+const createEvenDemand = (factor: number) => () => factor / REGIONS.length;
+/** Creates a demand that peaks in one region after the other: each goes from 0.17 to 2.8 of its mean. */
+const createMovingPeak = (factor: number) => (region: number, atMs: number) => {
+  const phase = (atMs / 9_000 + region) % REGIONS.length;
+  const isPeak = phase < 1;
   return factor * (isPeak ? 2.6 : 0.2) / REGIONS.length;
 };
 
-/** Loads that limits are compared on. */
+/** Cases on which implementations of team limits are compared. */
 export const LIMIT_CASES: readonly LimitCase[] = [
   ...[LARGE, SMALL].flatMap((limit): readonly LimitCase[] => {
     const size = limit === LARGE ? "large" : "small";
-    const calm = { limit, troubles: [], isInside: true };
+    const calm = { limit, faults: [], isInside: true };
     return [
-      { ...calm, name: `${size}, steady 0.55`, readDemand: spread(0.55) },
-      { ...calm, name: `${size}, walks 0.55`, readDemand: walk(0.55) },
+      {
+        ...calm,
+        name: `${size}, steady 0.55`,
+        readDemand: createEvenDemand(0.55),
+      },
+      {
+        ...calm,
+        name: `${size}, walks 0.55`,
+        readDemand: createMovingPeak(0.55),
+      },
       {
         ...calm,
         name: `${size}, 4 x the limit`,
@@ -81,59 +92,59 @@
   ...[LARGE, SMALL].map((limit): LimitCase => ({
     name: `${limit === LARGE ? "large" : "small"}, 2 x, a third cut off`,
     limit,
-    readDemand: spread(2),
+    readDemand: createEvenDemand(2),
     isInside: false,
-    troubles: [{
+    faults: [{
       kind: "cut",
       fromMs: 8_000,
       untilMs: 20_000,
-      isHit: (instance) => instance % 10 < 3,
+      isAffected: (instance) => instance % 10 < 3,
     }],
   })),
   {
     name: "large, 2 x, a region cut off",
     limit: LARGE,
-    readDemand: walk(2),
+    readDemand: createMovingPeak(2),
     isInside: false,
-    troubles: [{
+    faults: [{
       kind: "cut",
       fromMs: 8_000,
       untilMs: 14_000,
-      isHit: (instance) => readRegion(instance) === 0,
+      isAffected: (instance) => readRegion(instance) === 0,
     }],
   },
   {
     name: "large, 4 x, all start at once",
     limit: LARGE,
-    readDemand: spread(4),
+    readDemand: createEvenDemand(4),
     isInside: false,
-    troubles: [{ kind: "restart", fromMs: 13_000, untilMs: 14_000 }],
+    faults: [{ kind: "restart", fromMs: 13_000, untilMs: 14_000 }],
   },
   {
     name: "small, 4 x, all start at once",
     limit: SMALL,
-    readDemand: spread(4),
+    readDemand: createEvenDemand(4),
     isInside: false,
-    troubles: [{ kind: "restart", fromMs: 13_000, untilMs: 14_000 }],
+    faults: [{ kind: "restart", fromMs: 13_000, untilMs: 14_000 }],
   },
   {
     name: "large, lenders stand still 6 s",
     limit: LARGE,
-    readDemand: spread(2),
+    readDemand: createEvenDemand(2),
     isInside: false,
-    troubles: [{
+    faults: [{
       kind: "freeze",
       fromMs: 8_000,
       untilMs: 14_000,
-      isHit: (instance) => instance < 3,
+      isAffected: (instance) => instance < 3,
     }],
   },
   {
     name: "large, limit lowered to 0.2",
     limit: LARGE,
-    readDemand: spread(0.9),
+    readDemand: createEvenDemand(0.9),
     isInside: false,
-    troubles: [{
+    faults: [{
       kind: "lower-limit",
       fromMs: 8_000,
       untilMs: DURATION_MS,
@@ -143,10 +154,10 @@
 ];
 
 /**
- * Plays a load on a fleet.
+ * Runs a load against a fleet.
  *
- * @param load What is asked, and what happens.
- * @param instances Size of the fleet.
+ * @param load Demand and faults.
+ * @param instances Number of instances of the fleet.
  * @param create Creates the fleet.
  */
 export function playLimitCase(
@@ -154,14 +165,19 @@
   instances: number,
   create: (parts: LimitFleetParts) => LimitFleet,
 ): LimitOutcome {
-  const { limit, troubles } = load;
-  const hits = (kind: LimitTrouble["kind"], instance: number, nowMs: number) =>
-    troubles.some((trouble) =>
-      trouble.kind === kind && nowMs >= trouble.fromMs &&
-      nowMs < trouble.untilMs && (trouble.isHit?.(instance) ?? true)
+  const { limit, faults } = load;
+  const isFaultActive = (
+    kind: LimitFault["kind"],
+    instance: number,
+    nowMs: number,
+  ) =>
+    faults.some((fault) =>
+      fault.kind === kind && nowMs >= fault.fromMs &&
+      nowMs < fault.untilMs && (fault.isAffected?.(instance) ?? true)
     );
   const isFrozen = (instance: number, nowMs: number) =>
-    hits("freeze", instance, nowMs) || hits("restart", instance, nowMs);
+    isFaultActive("freeze", instance, nowMs) ||
+    isFaultActive("restart", instance, nowMs);
   const isRegionCut = load.name.includes("region");
   const fleet = create({
     instances,
@@ -170,19 +186,20 @@
     isFrozen,
     isHeard: (from, to, nowMs) => {
       const isSame = isRegionCut && readRegion(from) === readRegion(to);
-      const isCut = hits("cut", from, nowMs) || hits("cut", to, nowMs);
+      const isCut = isFaultActive("cut", from, nowMs) ||
+        isFaultActive("cut", to, nowMs);
       return from === to || isSame || !isCut;
     },
   });
   const arrivals = createArrivals(load, instances);
-  const lowered = troubles.find(({ kind }) => kind === "lower-limit");
+  const lowered = faults.find(({ kind }) => kind === "lower-limit");
   const done: { readonly atMs: number; readonly weight: number }[] = [];
   const isDone: boolean[] = [];
   let tickMs = 0;
   arrivals.forEach((arrival) => {
     while (tickMs <= arrival.atMs) {
       fleet.tick(tickMs);
-      troubles.filter(({ kind, untilMs }) =>
+      faults.filter(({ kind, untilMs }) =>
         kind === "restart" && untilMs > tickMs - TICK_MS && untilMs <= tickMs
       ).forEach(() => {
         for (let at = 0; at < instances; at++) fleet.restart(at, tickMs);
@@ -192,10 +209,10 @@
       }
       tickMs += TICK_MS;
     }
-    const isIn = !isFrozen(arrival.instance, arrival.atMs) &&
+    const isAdmitted = !isFrozen(arrival.instance, arrival.atMs) &&
       fleet.admit(arrival);
-    isDone.push(isIn);
-    if (isIn) done.push(arrival);
+    isDone.push(isAdmitted);
+    if (isAdmitted) done.push(arrival);
   });
   return summarize(
     load,
@@ -218,7 +235,7 @@
   instances: number,
 ): readonly LimitArrival[] {
   const random = createRandom(instances);
-  const peak = 6 * limit.perSecond / MEAN_WEIGHT;
+  const peak = 6 * limit.perSecond / MEAN_TOKENS;
   const arrivals: LimitArrival[] = [];
   let atMs = 0;
   while (atMs < DURATION_MS) {
@@ -226,7 +243,9 @@
     const instance = Math.floor(random.nextFloat() * instances);
     const demand = readDemand(readRegion(instance), atMs) * REGIONS.length;
     if (random.nextFloat() * 6 >= demand) continue;
-    const mean = random.nextFloat() < LONG_PART ? LONG_MEAN : SHORT_MEAN;
+    const mean = random.nextFloat() < LONG_FRACTION
+      ? LONG_MEAN_TOKENS
+      : SHORT_MEAN_TOKENS;
     arrivals.push({
       atMs,
       instance,
@@ -237,7 +256,7 @@
 }
 
 function summarize(
-  { limit, troubles }: LimitCase,
+  { limit, faults }: LimitCase,
   arrivals: readonly LimitArrival[],
   { done, isDone, sent }: {
     readonly done: readonly {
@@ -249,8 +268,8 @@
   },
   instances: number,
 ): LimitOutcome {
-  const lowered = troubles.find(({ kind }) => kind === "lower-limit");
-  const judged = lowered === undefined
+  const lowered = faults.find(({ kind }) => kind === "lower-limit");
+  const evaluated = lowered === undefined
     ? done
     : done.filter(({ atMs }) => atMs >= lowered.fromMs);
   const inForce = scale(limit, lowered?.factor ?? 1);
@@ -259,26 +278,32 @@
       (1 + overshoot) + slack;
   const ordered = arrivals.map(({ weight }, at) => ({
     weight,
-    isIn: isDone[at]!,
+    isAdmitted: isDone[at]!,
   }))
     .sort((a, b) => b.weight - a.weight);
   const heaviest = ordered.slice(0, Math.ceil(ordered.length / 10));
-  const readPart = (some: readonly { readonly isIn: boolean }[]) =>
-    some.filter(({ isIn }) => isIn).length / Math.max(1, some.length);
+  const computeAdmittedFraction = (
+    some: readonly { readonly isAdmitted: boolean }[],
+  ) =>
+    some.filter(({ isAdmitted }) => isAdmitted).length /
+    Math.max(1, some.length);
   const weight = done.reduce((sum, each) => sum + each.weight, 0);
   return {
-    ofBound: findMostOfWindow(judged, windowMs) / bound,
-    admitted: readPart(
-      listInside(limit, arrivals).map((at) => ({ isIn: isDone[at]! })),
+    ofBound: findMaxWindowWeight(evaluated, windowMs) / bound,
+    admitted: computeAdmittedFraction(
+      listAdmittedBySingleBucket(limit, arrivals).map((at) => ({
+        isAdmitted: isDone[at]!,
+      })),
     ),
     ofLimit: weight / (limit.perSecond * DURATION_MS / 1_000),
-    heaviest: readPart(heaviest) - readPart(ordered),
+    heaviest: computeAdmittedFraction(heaviest) -
+      computeAdmittedFraction(ordered),
     sentPerSecond: sent / instances / (DURATION_MS / 1_000),
   };
 }
 
-/** Returns the places of the calls that one bucket for all would admit. */
-function listInside(
+/** Returns the indexes of the calls that a single bucket for all instances would admit. */
+function listAdmittedBySingleBucket(
   { burst, perSecond }: TeamLimit,
   arrivals: readonly LimitArrival[],
 ): readonly number[] {
@@ -293,17 +318,18 @@
   });
 }
 
-function findMostOfWindow(
+/** Returns the largest weight of the calls in any window of a length. */
+function findMaxWindowWeight(
   done: readonly { readonly atMs: number; readonly weight: number }[],
   windowMs: number,
 ): number {
   let first = 0;
   let sum = 0;
-  let most = 0;
+  let max = 0;
   done.forEach(({ atMs, weight }) => {
     sum += weight;
     while (done[first]!.atMs <= atMs - windowMs) sum -= done[first++]!.weight;
-    most = Math.max(most, sum);
+    max = Math.max(max, sum);
   });
-  return most;
+  return max;
 }
--- a/bench/limit_fleet.ts
+++ b/bench/limit_fleet.ts
@@ -2,55 +2,57 @@
 import { toRegionId, toTeamId } from "../ids/mod.ts";
 import type { TeamLimit } from "../teams/mod.ts";
 
-/** A call that asks to be let in. */
+/** Call that arrives at an instance and is to be admitted or refused. */
 export interface LimitArrival {
   readonly atMs: number;
   readonly instance: number;
+  /** Tokens that the call counts for. */
   readonly weight: number;
 }
 
-/** What happens to instances from a time on, until another. */
-export interface LimitTrouble {
+/** Fault that affects instances during a time span. */
+export interface LimitFault {
   readonly kind: "cut" | "freeze" | "restart" | "lower-limit";
   readonly fromMs: number;
   readonly untilMs: number;
-  /** Which instances. Default: all. */
-  readonly isHit?: (instance: number) => boolean;
-  /** Factor on the limit from then on, for a lower one. Default: 1. */
+  /** Whether an instance is affected. Default: all are. */
+  readonly isAffected?: (instance: number) => boolean;
+  /** Factor on the limit from `fromMs` on, for kind `lower-limit`. Default: 1. */
   readonly factor?: number;
 }
 
-/** A fleet that keeps one team to its limit, without servers and sockets. */
+/** Simulated fleet that enforces the limit of one team, without servers and sockets. */
 export interface LimitFleet {
-  /** Whether a call is let in. */
+  /** Returns whether a call is admitted. */
   admit(arrival: LimitArrival): boolean;
-  /** Does what happens several times a second. */
+  /** Performs the periodic work of all instances, once every `TICK_MS`. */
   tick(nowMs: number): void;
-  /** Starts the process of an instance anew. */
+  /** Restarts an instance, which loses its state. */
   restart(instance: number, nowMs: number): void;
   setLimit(limit: TeamLimit): void;
-  /** Rows or messages that instances sent. */
+  /** Number of rows or messages that all instances sent. */
   readonly sent: number;
 }
 
-/** Size of a fleet, and who hears whom. */
+/** Size and limit of a fleet, and the state of its instances and network over time. */
 export interface LimitFleetParts {
   readonly instances: number;
   readonly limit: TeamLimit;
   readonly bounds: LimitBounds;
-  /** Whether a message gets through at this time. */
+  /** Whether messages from one instance reach another at this time. */
   readonly isHeard: (from: number, to: number, nowMs: number) => boolean;
-  /** Whether an instance stands still. */
+  /** Whether an instance is stalled at this time. */
   readonly isFrozen: (instance: number, nowMs: number) => boolean;
 }
 
+/** Regions of a fleet. */
 export const REGIONS = ["r0", "r1", "r2"].map(toRegionId);
-/** Pause between reports, in milliseconds. */
+/** Time between two reports of an instance, in milliseconds. */
 export const TICK_MS = 150;
-/** The only team of a fleet. */
+/** Only team of a fleet. */
 export const LIMITED_TEAM = toTeamId("team");
 
-/** Returns the region of an instance. */
+/** Returns the index in `REGIONS` of the region of an instance. */
 export function readRegion(instance: number): number {
   return instance % REGIONS.length;
 }
--- a/bench/limits_bench.ts
+++ b/bench/limits_bench.ts
@@ -5,40 +5,45 @@
 import { createArrivals, runTraffic } from "./traffic.ts";
 
 const DURATION_MS = 60_000;
-const LIMIT = 60;
+const LIMIT_PER_SECOND = 60;
 
-/** Measures team limits over nine instances: the sum, and demand that sits on one. */
+/** Measures team limits over nine instances, with demand at all of them and at one alone. */
 export async function runLimitsBench(): Promise<BenchResult> {
   const cases:
     readonly (readonly [string, (daemon: number, atMs: number) => number])[] = [
-      ["spread, 3 x the limit", () => (LIMIT * 3) / 9],
+      ["spread, 3 x the limit", () => (LIMIT_PER_SECOND * 3) / 9],
       [
         "one instance, 0.9 x the limit",
-        (daemon) => daemon === 0 ? LIMIT * 0.9 : 0,
+        (daemon) => daemon === 0 ? LIMIT_PER_SECOND * 0.9 : 0,
+      ],
+      [
+        "one instance, 3 x the limit",
+        (daemon) => daemon === 0 ? LIMIT_PER_SECOND * 3 : 0,
       ],
-      ["one instance, 3 x the limit", (daemon) => daemon === 0 ? LIMIT * 3 : 0],
       [
         "moves between instances, 0.9 x",
         (daemon, atMs) =>
-          daemon === Math.floor(atMs / 6_000) * 2 % 9 ? LIMIT * 0.9 : 0,
+          daemon === Math.floor(atMs / 6_000) * 2 % 9
+            ? LIMIT_PER_SECOND * 0.9
+            : 0,
       ],
-      ["spread, 3 x, one region cut off", () => (LIMIT * 3) / 9],
+      ["spread, 3 x, one region cut off", () => (LIMIT_PER_SECOND * 3) / 9],
     ];
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
   for (const [index, [name, rateOf]] of cases.entries()) {
-    const run = await runOne(rateOf, name.includes("cut off"));
+    const run = await runCase(rateOf, name.includes("cut off"));
     rows.push([
       name,
       toCell(run.offered),
       toCell(run.admitted),
       toCell(run.overLimit * 100),
-      toCell((run.admitted / Math.min(LIMIT, run.offered)) * 100),
+      toCell((run.admitted / Math.min(LIMIT_PER_SECOND, run.offered)) * 100),
       toCell(run.calls, 1),
     ]);
-    figures[`case${index}_over_limit`] = run.admitted / LIMIT;
+    figures[`case${index}_over_limit`] = run.admitted / LIMIT_PER_SECOND;
     figures[`case${index}_of_possible`] = run.admitted /
-      Math.min(LIMIT, run.offered);
+      Math.min(LIMIT_PER_SECOND, run.offered);
   }
   return {
     head: [
@@ -52,12 +57,12 @@
     rows,
     figures,
     notes: [
-      `limit ${LIMIT} a second; aim: at most 5% above it, at least 90% of what is possible`,
+      `limit ${LIMIT_PER_SECOND} a second; aim: at most 5% above it, at least 90% of what is possible`,
     ],
   };
 }
 
-async function runOne(
+async function runCase(
   rateOf: (daemon: number, atMs: number) => number,
   isCut: boolean,
 ) {
@@ -69,7 +74,7 @@
       fresh: 12,
       old: 0,
     })),
-    requestsPerSecond: LIMIT,
+    requestsPerSecond: LIMIT_PER_SECOND,
   });
   await fleet.clock.advance(8_000);
   if (isCut) {
@@ -84,7 +89,7 @@
   const arrivals = createArrivals({
     random,
     rateAt: (atMs, daemon) => rateOf(daemon, atMs),
-    peakRate: LIMIT * 3,
+    peakRate: LIMIT_PER_SECOND * 3,
     daemons: 9,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
@@ -109,7 +114,7 @@
   return {
     offered: arrivals.length / seconds,
     admitted,
-    overLimit: Math.max(0, admitted / LIMIT - 1),
+    overLimit: Math.max(0, admitted / LIMIT_PER_SECOND - 1),
     calls: (after - before) / seconds,
   };
 }
--- a/bench/load_worker.ts
+++ b/bench/load_worker.ts
@@ -1,11 +1,13 @@
 import { parentPort } from "node:worker_threads";
 import { Agent, request } from "undici";
 
-/** A round of calls that the load thread is asked for. */
+/** Round of calls that the load worker is asked to make. */
 export interface LoadRound {
   readonly url: string;
+  /** Calls per second. */
   readonly rate: number;
   readonly durationMs: number;
+  /** Tokens that each answer is to have. */
   readonly tokens: number;
 }
 
@@ -15,7 +17,7 @@
   void runRound(round).then((latencies) => parentPort?.postMessage(latencies));
 });
 
-/** Open loop: each call starts at its time; returns latencies in microseconds. */
+/** Runs calls in open loop, each at its planned time, and returns their latencies in microseconds. */
 async function runRound(round: LoadRound): Promise<readonly number[]> {
   const { durationMs, rate } = round;
   const startMs = performance.now();
@@ -48,7 +50,7 @@
       const text = await body.text();
       if (!text.includes("[DONE]")) {
         throw new Error(
-          `The answer is not whole: ${text.slice(0, 200)}`,
+          `Expected an answer with [DONE], got: ${text.slice(0, 200)}`,
         );
       }
       latencies.push(
--- a/bench/loans_fleet.ts
+++ b/bench/loans_fleet.ts
@@ -8,17 +8,17 @@
   type LimitFleetParts,
 } from "./limit_fleet.ts";
 
-/** Instances that hold the base shares of a limit. */
-const HOLDERS = 3;
+/** Number of instances that hold the base shares of a limit. */
+const HOLDER_COUNT = 3;
 
-/** Three holders that lend what they do not need, counted in weights. */
+/** Fleet in which three instances hold the limit and lend the weight that they do not need. */
 export class LoansFleet implements LimitFleet {
   sent = 0;
   readonly #parts: LimitFleetParts;
   readonly #limits: TeamLimits[];
   #limit: TeamLimit;
 
-  /** @param parts Size, and who hears whom. */
+  /** @param parts Size and limit of the fleet, and the state of its instances and network. */
   constructor(parts: LimitFleetParts) {
     this.#parts = parts;
     this.#limit = parts.limit;
@@ -39,16 +39,20 @@
     this.#limits.forEach((limits, at) => {
       if (isFrozen(at, nowMs)) return;
       limits.decideBorrow(nowMs).forEach(({ wanted }) => {
-        for (let lender = 0; lender < HOLDERS; lender++) {
-          const isThere = isHeard(at, lender, nowMs) &&
+        for (let lender = 0; lender < HOLDER_COUNT; lender++) {
+          const isLenderAvailable = isHeard(at, lender, nowMs) &&
             isHeard(lender, at, nowMs) && !isFrozen(lender, nowMs);
           if (lender === at) continue;
           this.sent++;
-          if (!isThere) continue;
+          if (!isLenderAvailable) continue;
           const from = toInstanceId(`${at}`);
-          const wish = { team: LIMITED_TEAM, wanted: wanted / HOLDERS, from };
+          const request = {
+            team: LIMITED_TEAM,
+            wanted: wanted / HOLDER_COUNT,
+            from,
+          };
           const loan = this.#limits[lender]!
-            .lend(wish, this.#limit.perSecond, nowMs);
+            .lend(request, this.#limit.perSecond, nowMs);
           limits.recordLoan(`${lender}`, loan, { askedMs: nowMs, nowMs });
         }
       });
@@ -66,7 +70,7 @@
   #create(instance: number, startedMs: number): TeamLimits {
     return new TeamLimits({
       startedMs,
-      readBaseShare: () => instance < HOLDERS ? 1 / HOLDERS : 0,
+      readBaseShare: () => instance < HOLDER_COUNT ? 1 / HOLDER_COUNT : 0,
       isJoining: () => startedMs > 0,
     });
   }
