--- a/standin/answer_text.ts
+++ b/standin/answer_text.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** A chat request, as far as the stand-in reads it. */
+/** The fields of a completion request that the stand-in reads. */
 export interface AnswerRequest {
   readonly messages?: readonly {
     readonly role: string;
@@ -12,28 +12,29 @@
   readonly continue_final_message?: boolean;
 }
 
-/** What is to be answered: the same words for the same question, from any engine. */
+/** Plan of an answer. Every engine plans the same words for the same question. */
 export interface AnswerPlan {
-  /** Hash of the question. */
+  /** First 8 hexadecimal digits of the question's SHA-256; each word begins with them. */
   readonly seed: string;
-  /** Words that were given before. */
+  /** Index of the first word; greater than 0 if the request continues an answer. */
   readonly firstIndex: number;
+  /** Number of words in the answer. */
   readonly tokens: number;
 }
 
 const DEFAULT_TOKENS = 16;
 
 /**
- * Works out the answer to a request; a continued one goes on after the words
- * that its last message holds.
+ * Returns the plan of the answer to a request. If the request asks to continue the
+ * final message, the answer starts after the words of that message.
  *
- * @param request The body.
+ * @param request Body of the request.
  */
 export function planAnswer(request: AnswerRequest): AnswerPlan {
   const messages = request.messages ?? [];
   const isContinued = request.continue_final_message === true;
   const question = isContinued ? messages.slice(0, -1) : messages;
-  const given = isContinued ? messages.at(-1)?.content ?? "" : "";
+  const continuedText = isContinued ? messages.at(-1)?.content ?? "" : "";
   const seed = createHash("sha256")
     .update(
       JSON.stringify(
@@ -43,18 +44,18 @@
     .digest("hex").slice(0, 8);
   return {
     seed,
-    firstIndex: given.split(" ").filter((word) => word !== "").length,
+    firstIndex: continuedText.split(" ").filter((word) => word !== "").length,
     tokens: request.max_completion_tokens ?? request.max_tokens ??
       DEFAULT_TOKENS,
   };
 }
 
-/** Returns one word of an answer. */
+/** Returns the word at an index of an answer, followed by a space. */
 export function createWord(plan: AnswerPlan, index: number): string {
   return `${plan.seed}-${plan.firstIndex + index} `;
 }
 
-/** Returns the whole answer to a request, to compare with. */
+/** Returns the complete answer to a request, as the expected value for comparisons. */
 export function createAnswer(request: AnswerRequest): string {
   const plan = planAnswer(request);
   return Array.from(
--- a/standin/build_program.ts
+++ b/standin/build_program.ts
@@ -7,13 +7,13 @@
 const ROOT = fileURLToPath(new URL("../..", import.meta.url));
 
 /**
- * Builds the program that the platform runs, which leaves parts of libraries out.
+ * Builds the program that the platform runs, a bundle without unused parts of libraries.
  *
- * @returns Its path, in a folder of its own.
+ * @returns Path of the program, in a new temporary folder.
  */
 export function buildProgram(): string {
   const path = join(mkdtempSync(join(tmpdir(), "program-")), "havenspur.cjs");
-  const words = ["run", "-s", "build:platform", "--", `--outfile=${path}`];
-  execFileSync("npm", words, { cwd: ROOT });
+  const args = ["run", "-s", "build:platform", "--", `--outfile=${path}`];
+  execFileSync("npm", args, { cwd: ROOT });
   return path;
 }
--- a/standin/end_orphans.ts
+++ b/standin/end_orphans.ts
@@ -1,6 +1,7 @@
 /**
- * Ends processes whose starter is gone. It reads `started ID` and `ended ID` from
- * standard input; when that closes, it kills what still runs, by id.
+ * Kills processes whose parent process has exited. Reads lines `started PID` and
+ * `ended PID` from standard input; when the input closes, kills each process that
+ * was started and has not ended, by its id.
  *
  * @module
  */
@@ -8,16 +9,16 @@
 
 const running = new Set<number>();
 
-// The starter's end must not end this process first.
+// A signal that ends the parent process must not end this one before it has killed the others.
 (["SIGINT", "SIGTERM", "SIGHUP"] as const).forEach((name) =>
   process.on(name, () => {})
 );
 
 const lines = createInterface({ input: process.stdin });
 lines.on("line", (line) => {
-  const [word, id] = line.split(" ");
+  const [event, id] = line.split(" ");
   const pid = Number(id);
-  if (word === "started") running.add(pid);
+  if (event === "started") running.add(pid);
   else running.delete(pid);
 });
 lines.on("close", () => {
@@ -25,7 +26,7 @@
     try {
       process.kill(pid, "SIGKILL");
     } catch {
-      // It has ended meanwhile.
+      // The process has already ended.
     }
   });
   process.exit(0);
--- a/standin/engine_core.ts
+++ b/standin/engine_core.ts
@@ -1,71 +1,72 @@
 import type { Clock } from "../clock/mod.ts";
 import type { EngineLoad } from "../engine/mod.ts";
 
-/** Speeds and sizes of an engine. */
+/** Speed and capacity of an engine. */
 export interface EngineSpeed {
-  /** Sequences decoded at once. */
+  /** Maximum number of sequences that are decoded at the same time. */
   readonly slots: number;
-  /** Prompt tokens prefilled in a millisecond. */
+  /** Prompt tokens prefilled per millisecond. */
   readonly prefillTokensPerMs: number;
-  /** Time of a step with no sequence, in milliseconds. */
+  /** Fixed duration of a step, in milliseconds. */
   readonly stepMs: number;
-  /** Time that each sequence adds to a step, in milliseconds. */
+  /** Time that each running sequence adds to a step, in milliseconds. */
   readonly stepPerSequenceMs: number;
-  /** Tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache, in tokens. */
   readonly cacheTokens: number;
-  /** Age of load reports, in milliseconds. */
-  readonly reportLagMs: number;
+  /** Minimum age at which a load report is replaced, in milliseconds. */
+  readonly reportIntervalMs: number;
 }
 
-/** A recent accelerator. */
+/** Speed of a recent accelerator. */
 export const NEW_ENGINE: EngineSpeed = {
   slots: 16,
   prefillTokensPerMs: 10,
   stepMs: 12,
   stepPerSequenceMs: 0.6,
   cacheTokens: 40_000,
-  reportLagMs: 500,
+  reportIntervalMs: 500,
 };
 
-/** An old accelerator. */
+/** Speed of an old accelerator. */
 export const OLD_ENGINE: EngineSpeed = {
   slots: 8,
   prefillTokensPerMs: 3,
   stepMs: 28,
   stepPerSequenceMs: 1.5,
   cacheTokens: 16_000,
-  reportLagMs: 500,
+  reportIntervalMs: 500,
 };
 
-/** One sequence for an engine. */
+/** A sequence that an engine is asked to generate. */
 export interface Sequence {
   readonly id: string;
   readonly promptTokens: number;
   readonly prefix: string | undefined;
   readonly prefixTokens: number;
   readonly outputTokens: number;
-  /** Lower goes first. */
+  /** Order of admission; waiting sequences with a lower rank are admitted first. */
   readonly rank: number;
-  /** Called for each token, from index 0. */
+  /** Called for each generated token, with its index from 0. */
   readonly onToken: (index: number) => void;
   /** Called once after the last token. */
   readonly onEnd: () => void;
 }
 
-interface Running {
+interface ScheduledSequence {
   readonly sequence: Sequence;
-  coldTokens: number;
-  produced: number;
+  /** Prompt tokens that are still to be prefilled. */
+  prefillTokens: number;
+  emittedTokens: number;
 }
 
-const PREFILL_PER_STEP = 512;
+const PREFILL_TOKENS_PER_STEP = 512;
 
 /**
- * The timing of a model engine: continuous batching with prefill in chunks, a
- * bounded prefix cache, priorities, and load reports that lag.
+ * A simulation of a model engine's timing: continuous batching with chunked
+ * prefill, a bounded prefix cache, priorities, and delayed load reports.
  */
 export class EngineCore {
-  /** Work done since the start. */
+  /** Totals since the start. */
   readonly counts = {
     sequences: 0,
     tokens: 0,
@@ -75,53 +76,53 @@
   };
   readonly #clock: Clock;
   readonly #speed: EngineSpeed;
-  #waiting: Running[] = [];
-  #running: Running[] = [];
+  #waiting: ScheduledSequence[] = [];
+  #running: ScheduledSequence[] = [];
   readonly #cache = new Map<string, number>();
   #cachedTokens = 0;
   #isStepping = false;
-  #generation = 0;
+  #resetCount = 0;
   #report: EngineLoad = { running: 0, queued: 0, queuedTokens: 0, lagMs: 0 };
-  #reportMs: number;
+  #reportedAtMs: number;
 
   /**
    * @param clock Source of time.
-   * @param speed Speeds and sizes.
+   * @param speed Speed and capacity.
    */
   constructor(clock: Clock, speed: EngineSpeed) {
     this.#clock = clock;
     this.#speed = speed;
-    this.#reportMs = clock.nowMs();
+    this.#reportedAtMs = clock.nowMs();
   }
 
-  /** Sequences that run or wait, right now. */
+  /** Number of sequences that are running or waiting. */
   get inSystem(): number {
     return this.#running.length + this.#waiting.length;
   }
 
-  /** Adds a sequence. */
+  /** Enqueues a sequence. */
   submit(sequence: Sequence): void {
     this.#refreshReport();
     this.counts.sequences++;
-    const coldTokens = sequence.promptTokens - this.#lookUp(sequence);
+    const prefillTokens = sequence.promptTokens - this.#lookUpPrefix(sequence);
     this.#waiting.push({
       sequence,
-      coldTokens: Math.max(1, coldTokens),
-      produced: 0,
+      prefillTokens: Math.max(1, prefillTokens),
+      emittedTokens: 0,
     });
     this.#step();
   }
 
-  /** Ends a sequence early. */
+  /** Drops a sequence; none of its callbacks is called any more. */
   cancel(id: string): void {
-    const isOther = ({ sequence }: Running) => sequence.id !== id;
+    const isOther = ({ sequence }: ScheduledSequence) => sequence.id !== id;
     this.#waiting = this.#waiting.filter(isOther);
     this.#running = this.#running.filter(isOther);
   }
 
-  /** Drops everything: the engine dies, and starts again with a cold cache. */
+  /** Drops all sequences and empties the prefix cache, as a crash and restart of the engine does. */
   reset(): void {
-    this.#generation++;
+    this.#resetCount++;
     this.#waiting = [];
     this.#running = [];
     this.#isStepping = false;
@@ -134,23 +135,24 @@
     this.#cachedTokens = 0;
   }
 
-  /** Returns a load report, as old as the lag. */
+  /** Returns the latest load report with its age as `lagMs`. */
   readLoad(): EngineLoad {
     this.#refreshReport();
-    return { ...this.#report, lagMs: this.#clock.nowMs() - this.#reportMs };
+    return { ...this.#report, lagMs: this.#clock.nowMs() - this.#reportedAtMs };
   }
 
   #refreshReport(): void {
     const nowMs = this.#clock.nowMs();
     if (
-      nowMs - this.#reportMs < this.#speed.reportLagMs && this.#reportMs !== 0
+      nowMs - this.#reportedAtMs < this.#speed.reportIntervalMs &&
+      this.#reportedAtMs !== 0
     ) return;
-    this.#reportMs = nowMs;
+    this.#reportedAtMs = nowMs;
     this.#report = {
       running: this.#running.length,
       queued: this.#waiting.length,
       queuedTokens: [...this.#waiting, ...this.#running]
-        .reduce((sum, { coldTokens }) => sum + coldTokens, 0),
+        .reduce((sum, { prefillTokens }) => sum + prefillTokens, 0),
       lagMs: 0,
     };
   }
@@ -160,14 +162,14 @@
     this.#admitWaiting();
     if (this.#running.length === 0) return;
     this.#isStepping = true;
-    const prefill = this.#takePrefill();
+    const prefill = this.#runPrefill();
     const { stepMs, stepPerSequenceMs, prefillTokensPerMs } = this.#speed;
-    const tookMs = stepMs + stepPerSequenceMs * this.#running.length +
+    const durationMs = stepMs + stepPerSequenceMs * this.#running.length +
       prefill / prefillTokensPerMs;
-    const generation = this.#generation;
-    this.#clock.schedule(tookMs, () => {
-      if (generation !== this.#generation) return;
-      this.counts.busyMs += tookMs;
+    const resetCount = this.#resetCount;
+    this.#clock.schedule(durationMs, () => {
+      if (resetCount !== this.#resetCount) return;
+      this.counts.busyMs += durationMs;
       this.#isStepping = false;
       this.#emitTokens();
       this.#refreshReport();
@@ -182,42 +184,46 @@
     this.#running.push(...this.#waiting.splice(0, free));
   }
 
-  #takePrefill(): number {
-    let left = PREFILL_PER_STEP;
+  #runPrefill(): number {
+    let budget = PREFILL_TOKENS_PER_STEP;
     this.#running.forEach((running) => {
-      const taken = Math.min(left, running.coldTokens);
-      running.coldTokens -= taken;
-      left -= taken;
+      const prefilled = Math.min(budget, running.prefillTokens);
+      running.prefillTokens -= prefilled;
+      budget -= prefilled;
     });
-    return PREFILL_PER_STEP - left;
+    return PREFILL_TOKENS_PER_STEP - budget;
   }
 
   #emitTokens(): void {
-    const ready = this.#running.filter(({ coldTokens }) => coldTokens <= 0);
+    const ready = this.#running.filter(({ prefillTokens }) =>
+      prefillTokens <= 0
+    );
     ready.forEach((running) => {
-      running.sequence.onToken(running.produced++);
+      running.sequence.onToken(running.emittedTokens++);
       this.counts.tokens++;
     });
-    const ended = ready.filter(({ produced, sequence }) =>
-      produced >= sequence.outputTokens
+    const completed = ready.filter(({ emittedTokens, sequence }) =>
+      emittedTokens >= sequence.outputTokens
+    );
+    this.#running = this.#running.filter((running) =>
+      !completed.includes(running)
     );
-    this.#running = this.#running.filter((running) => !ended.includes(running));
-    ended.forEach(({ sequence }) => sequence.onEnd());
+    completed.forEach(({ sequence }) => sequence.onEnd());
   }
 
-  #lookUp({ prefix, prefixTokens }: Sequence): number {
+  #lookUpPrefix({ prefix, prefixTokens }: Sequence): number {
     if (prefix === undefined) return 0;
     this.counts.cacheLookups++;
-    const held = this.#cache.get(prefix);
-    if (held !== undefined) {
+    const hitTokens = this.#cache.get(prefix);
+    if (hitTokens !== undefined) {
       this.counts.cacheHits++;
       this.#cache.delete(prefix);
-      this.#cachedTokens -= held;
+      this.#cachedTokens -= hitTokens;
     }
     this.#cache.set(prefix, prefixTokens);
     this.#cachedTokens += prefixTokens;
     this.#evict();
-    return Math.min(held ?? 0, prefixTokens);
+    return Math.min(hitTokens ?? 0, prefixTokens);
   }
 
   #evict(): void {
--- a/standin/engine_server.ts
+++ b/standin/engine_server.ts
@@ -12,39 +12,41 @@
 import { readBody, sendJson } from "./http_basics.ts";
 import { LoopbackServer } from "./loopback_server.ts";
 
-/** Faults of an engine, set while it runs. */
+/** Faults of an engine, which can be set while it runs. */
 export interface EngineFaults {
-  /** Refuse work, and say that it did not run. */
+  /** Refuse requests with the information that they did not run. */
   refuse: boolean;
-  /** Take the request, then close the connection without an answer. */
+  /** Start the run of a request, then close the connection without an answer. */
   acceptThenDie: boolean;
-  /** Cut a stream after so many tokens; counts for streams that start from now. */
+  /** Number of tokens after which a stream is interrupted; applies to streams that start later. */
   breakAfterTokens: number | undefined;
-  /** Streams that are still cut. */
+  /** Number of streams that are still to be interrupted. */
   breaksLeft: number;
-  /** Refuse to resume. */
+  /** Refuse to resume streams. */
   refuseResume: boolean;
-  /** Send events late, twice, out of order, and among those of another stream. */
+  /** Send events late, twice, out of order, and mixed with those of another stream. */
   scramble: boolean;
-  /** Fail loads of versions. */
+  /** Let each load of a model version fail. */
   failLoads: boolean;
 }
 
-/** What a stand-in engine is created from. */
+/** Constructor arguments of {@linkcode EngineServer}. */
 export interface EngineServerParts {
   readonly clock: Clock;
   readonly speed: EngineSpeed;
   readonly region: string;
+  /** Whether orders with an old fencing token are refused. */
   readonly checksFencing: boolean;
   /** Port; 0 picks a free one. */
   readonly port: number;
-  /** Time of a load of a version, in milliseconds. Default: 200. */
+  /** Duration of loading a model version, in milliseconds. Default: 200. */
   readonly loadMs?: number;
 }
 
-/** A run that an engine has begun. */
+/** A run that an engine has started. */
 export interface EngineRun {
   readonly attempt: string;
+  /** Hash of the question. */
   readonly key: string;
   readonly region: string;
 }
@@ -55,18 +57,19 @@
   readonly events: string[];
   isEnded: boolean;
   readonly listeners: Set<() => void>;
-  breakAt: number | undefined;
+  /** Index of the event before which the stream is interrupted; `undefined`: never. */
+  breakAtIndex: number | undefined;
 }
 
-const RANKS: Readonly<Record<string, number>> = {
+const PRIORITY_RANKS: Readonly<Record<string, number>> = {
   interactive: 0,
   normal: 1,
   batch: 2,
 };
-const KEPT_STREAMS = 2_000;
+const MAX_STREAM_RECORDS = 2_000;
 const DEFAULT_LOAD_MS = 200;
 
-/** A stand-in for a model engine, over HTTP. */
+/** A stand-in for a model engine that serves HTTP. */
 export class EngineServer extends LoopbackServer {
   readonly faults: EngineFaults = {
     refuse: false,
@@ -77,11 +80,11 @@
     scramble: false,
     failLoads: false,
   };
-  /** Every run since the start. */
+  /** All runs since the start. */
   readonly runs: EngineRun[] = [];
-  /** Orders taken, with their tokens. */
+  /** Accepted orders, with their fencing tokens. */
   readonly orders: EngineOrder[] = [];
-  /** Streams that were cancelled. */
+  /** Attempts whose streams were cancelled. */
   readonly cancelled: string[] = [];
   readonly core: EngineCore;
   readonly #parts: EngineServerParts;
@@ -92,16 +95,16 @@
     orderId: undefined,
     failure: undefined,
   };
-  #highestToken = 0;
+  #highestFencingToken = 0;
 
-  /** @param parts Clock, speed and place. */
+  /** @param parts Clock, speed, region and port. */
   constructor(parts: EngineServerParts) {
     super();
     this.#parts = parts;
     this.core = new EngineCore(parts.clock, parts.speed);
   }
 
-  /** What the engine serves now. */
+  /** Model version that the engine serves, and the state of the latest load. */
   get state(): EngineState {
     return this.#state;
   }
@@ -138,7 +141,7 @@
       case "GET /control/state":
         return sendJson(response, 200, this.#state);
       case "POST /control/order":
-        return await this.#order(message, response);
+        return await this.#acceptOrder(message, response);
       case "POST /control/faults":
         Object.assign(
           this.faults,
@@ -165,7 +168,7 @@
     const attempt = String(
       message.headers["x-attempt-id"] ?? `local-${this.runs.length}`,
     );
-    const record = this.#run(
+    const record = this.#startRun(
       attempt,
       body,
       String(message.headers["x-priority"] ?? ""),
@@ -189,10 +192,10 @@
       { length: record.plan.tokens },
       (_, index) => createWord(record.plan, index),
     ).join("");
-    sendJson(response, 200, createWhole(attempt, body, text));
+    sendJson(response, 200, createCompletion(attempt, body, text));
   }
 
-  #run(
+  #startRun(
     attempt: string,
     body: AnswerRequest & { readonly model: string },
     priority: string,
@@ -207,11 +210,11 @@
       events: [],
       isEnded: false,
       listeners: new Set(),
-      breakAt: willBreak ? this.faults.breakAfterTokens : undefined,
+      breakAtIndex: willBreak ? this.faults.breakAfterTokens : undefined,
     };
     this.runs.push({ attempt, key: plan.seed, region: this.#parts.region });
     this.#streams.set(attempt, record);
-    if (this.#streams.size > KEPT_STREAMS) {
+    if (this.#streams.size > MAX_STREAM_RECORDS) {
       this.#streams.delete(this.#streams.keys().next().value!);
     }
     const prompt = JSON.stringify(body.messages ?? body.prompt);
@@ -225,7 +228,7 @@
       prefix: createHash("sha1").update(prompt.slice(0, 1_024)).digest("hex"),
       prefixTokens: Math.min(256, Math.ceil(prompt.length / 4)),
       outputTokens: plan.tokens,
-      rank: RANKS[priority] ?? 1,
+      rank: PRIORITY_RANKS[priority] ?? 1,
       onToken: (index) =>
         append(createChunk(attempt, body, createWord(plan, index))),
       onEnd: () => {
@@ -246,7 +249,7 @@
     if (record === undefined || this.faults.refuseResume) {
       return sendJson(response, 404, { error: { message: "no such stream" } });
     }
-    record.breakAt = undefined;
+    record.breakAtIndex = undefined;
     const lastId = String(message.headers["last-event-id"] ?? `${attempt}/-1`);
     this.#sendEvents(
       record,
@@ -275,7 +278,7 @@
       );
     const send = () => {
       while (next < record.events.length) {
-        if (record.breakAt !== undefined && next >= record.breakAt) {
+        if (record.breakAtIndex !== undefined && next >= record.breakAtIndex) {
           record.listeners.delete(send);
           response.destroy();
           return;
@@ -304,19 +307,25 @@
     });
   }
 
-  async #order(
+  async #acceptOrder(
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const order = JSON.parse(
       (await readBody(message)).toString(),
     ) as EngineOrder;
-    if (this.#parts.checksFencing && order.fencingToken < this.#highestToken) {
+    if (
+      this.#parts.checksFencing &&
+      order.fencingToken < this.#highestFencingToken
+    ) {
       return sendJson(response, 412, {
         error: { message: "an old fencing token" },
       });
     }
-    this.#highestToken = Math.max(this.#highestToken, order.fencingToken);
+    this.#highestFencingToken = Math.max(
+      this.#highestFencingToken,
+      order.fencingToken,
+    );
     this.orders.push(order);
     this.#state = {
       ...this.#state,
@@ -335,7 +344,12 @@
   }
 }
 
-/** Sends two events in the wrong order, one twice, and one under a foreign id. */
+/**
+ * Sends the event at an index under the id of another stream, then this event twice,
+ * with the event after it sent first.
+ *
+ * @returns Index of the event to go on with.
+ */
 function scramble(
   record: StreamRecord,
   next: number,
@@ -360,15 +374,15 @@
   body: AnswerRequest & { readonly model: string },
   text: string | undefined,
 ): string {
-  const finish = text === undefined ? "stop" : null;
+  const finishReason = text === undefined ? "stop" : null;
   const isChat = body.messages !== undefined;
   const choice = isChat
     ? {
       index: 0,
       delta: text === undefined ? {} : { content: text },
-      finish_reason: finish,
+      finish_reason: finishReason,
     }
-    : { index: 0, text: text ?? "", finish_reason: finish };
+    : { index: 0, text: text ?? "", finish_reason: finishReason };
   return JSON.stringify({
     id: `cmpl-${attempt}`,
     object: isChat ? "chat.completion.chunk" : "text_completion",
@@ -378,7 +392,7 @@
   });
 }
 
-function createWhole(
+function createCompletion(
   attempt: string,
   body: AnswerRequest & { readonly model: string },
   text: string,
--- a/standin/fake_backend.ts
+++ b/standin/fake_backend.ts
@@ -16,15 +16,15 @@
 import type { BackendServer } from "../resources/mod.ts";
 import { EngineCore, type EngineSpeed } from "./engine_core.ts";
 
-/** An engine in memory, with faults. */
+/** A model engine in memory, with faults that can be set. */
 export interface FakeEngine {
   readonly core: EngineCore;
   readonly region: string;
-  /** It refuses connections. */
+  /** Whether the engine refuses connections. */
   isDown: boolean;
-  /** Share of requests that it takes and then breaks. */
+  /** Fraction of the accepted requests whose connection is then broken, from 0 to 1. */
   failShare: number;
-  /** Attempts that it has begun, with the question of each. */
+  /** Attempts that reached the engine, with the body and time of each. */
   readonly runs: {
     readonly attempt: string;
     readonly body: string;
@@ -38,31 +38,33 @@
   isEnded: boolean;
 }
 
-/** Sizes of a call, as the fakes read them from its body. */
-interface FakeBody {
+/** Fields of a request body that the fake engines read. */
+interface FakeRequestBody {
   readonly stream?: boolean;
   readonly max_tokens?: number;
   readonly prompt_tokens?: number;
   readonly prefix?: string;
   readonly prefix_tokens?: number;
-  /** The engine that runs it ends. */
+  /** Whether the request crashes the engine that runs it. */
   readonly ends_server?: boolean;
 }
 
-const RANKS: Readonly<Record<string, number>> = {
+const PRIORITY_RANKS: Readonly<Record<string, number>> = {
   interactive: 0,
   normal: 1,
   batch: 2,
 };
-/** After how long an engine that ended of a call is there again, in milliseconds. */
-const BACK_AFTER_MS = 6_000;
-const NEAR_MS = 1;
-const FAR_MS = 25;
+/** Time from the crash of an engine to its restart, in milliseconds. */
+const RESTART_DELAY_MS = 6_000;
+/** One-way latency from an instance to an engine, in milliseconds. */
+const LOCAL_LATENCY_MS = 1;
+/** One-way latency from an instance to a gateway that it forwards to, in milliseconds. */
+const REMOTE_LATENCY_MS = 25;
 
-/** Backend servers and gateways in memory, behind the port of backend servers. */
+/** Model engines and gateways in memory, reached through the {@linkcode BackendClient} port. */
 export class FakeBackend {
   readonly engines = new Map<string, FakeEngine>();
-  /** Gateways that take forwarded requests, by URL. */
+  /** Gateways that accept forwarded requests, by URL. */
   readonly gateways = new Map<
     string,
     {
@@ -70,21 +72,21 @@
       readonly handle: (request: GatewayRequest) => Promise<Reply>;
     }
   >();
-  /** Regions that are cut off from all others. */
+  /** Regions whose connections to all other regions are cut. */
   cutRegions: ReadonlySet<string> = new Set();
   readonly #clock: Clock;
   readonly #nextFloat: () => number;
 
   /**
    * @param clock Source of time.
-   * @param nextFloat Source of failures.
+   * @param nextFloat Source of random numbers from 0 to 1, which decide whether a request fails.
    */
   constructor(clock: Clock, nextFloat: () => number) {
     this.#clock = clock;
     this.#nextFloat = nextFloat;
   }
 
-  /** Adds an engine under a URL. */
+  /** Adds an engine that is reached at a URL. */
   addEngine(url: string, region: string, speed: EngineSpeed): FakeEngine {
     const core = new EngineCore(this.#clock, speed);
     const engine = { core, region, isDown: false, failShare: 0, runs: [] };
@@ -92,7 +94,7 @@
     return engine;
   }
 
-  /** Returns the port as daemons of one region see it. */
+  /** Returns the client that the daemons of a region use. */
   createClient(region: string): BackendClient {
     return {
       dispatch: (call, signal) => this.#dispatch(region, call, signal),
@@ -100,7 +102,7 @@
         Promise.resolve(
           err({
             kind: "broken",
-            message: "Cannot resume: the engine has died",
+            message: "Cannot resume the stream: the engine crashed",
           }),
         ),
       cancel: (server, attempt) => {
@@ -113,7 +115,7 @@
         Promise.resolve(
           err<EngineState, DispatchFailure>({
             kind: "broken",
-            message: "none",
+            message: "Cannot read the engine state: it is not available",
           }),
         ),
     };
@@ -129,13 +131,13 @@
       return await this.#forward(region, gateway, { call, signal });
     }
     const engine = this.engines.get(call.server.url);
-    await waitFor(this.#clock, NEAR_MS);
+    await waitFor(this.#clock, LOCAL_LATENCY_MS);
     if (engine === undefined || engine.isDown) {
       return err({ kind: "not-sent", message: "Cannot connect: refused" });
     }
     const body = JSON.parse(
       Buffer.from(call.body ?? "{}").toString(),
-    ) as FakeBody;
+    ) as FakeRequestBody;
     engine.runs.push({
       attempt: call.attempt,
       body: JSON.stringify(body),
@@ -143,17 +145,20 @@
     });
     if (body.ends_server === true) {
       engine.isDown = true;
-      this.#clock.schedule(BACK_AFTER_MS, () => {
+      this.#clock.schedule(RESTART_DELAY_MS, () => {
         engine.isDown = false;
       });
       return err({
         kind: "broken",
-        message: "The engine has ended",
+        message: "The engine crashed while it ran the request",
         isClosed: true,
       });
     }
     if (this.#nextFloat() < engine.failShare) {
-      return err({ kind: "broken", message: "The connection broke" });
+      return err({
+        kind: "broken",
+        message: "The connection to the engine broke",
+      });
     }
     const answer = this.#run(engine, { call, body, signal });
     return ok(call.isStream ? answer : await gatherAnswer(answer));
@@ -163,7 +168,7 @@
     engine: FakeEngine,
     run: {
       readonly call: BackendCall;
-      readonly body: FakeBody;
+      readonly body: FakeRequestBody;
       readonly signal: AbortSignal;
     },
   ): BackendAnswer {
@@ -185,7 +190,7 @@
       prefix: body.prefix,
       prefixTokens: body.prefix_tokens ?? 0,
       outputTokens: body.max_tokens ?? 16,
-      rank: RANKS[call.headers["x-priority"] ?? ""] ?? 1,
+      rank: PRIORITY_RANKS[call.headers["x-priority"] ?? ""] ?? 1,
       onToken: (token) =>
         push(`{"choices":[{"delta":{"content":"${token} "}}]}`),
       onEnd: () => {
@@ -215,7 +220,7 @@
       await waitFor(this.#clock, 1_000);
       return err({ kind: "not-sent", message: "Cannot connect: timed out" });
     }
-    await waitFor(this.#clock, FAR_MS);
+    await waitFor(this.#clock, REMOTE_LATENCY_MS);
     const reply = await gateway.handle({
       method: call.method,
       path: call.path,
@@ -224,7 +229,7 @@
       readBody: () => Promise.resolve(ok(Buffer.from(call.body ?? ""))),
       signal,
     });
-    await waitFor(this.#clock, FAR_MS);
+    await waitFor(this.#clock, REMOTE_LATENCY_MS);
     if (reply.kind === "events") {
       const events = toStreamEvents(reply.events, call.attempt);
       return ok({ kind: "stream", events, load: undefined });
@@ -249,7 +254,7 @@
   async #readLoad(
     server: BackendServer,
   ): Promise<Result<EngineLoad, DispatchFailure>> {
-    await waitFor(this.#clock, 2 * NEAR_MS);
+    await waitFor(this.#clock, 2 * LOCAL_LATENCY_MS);
     const engine = this.engines.get(server.url);
     if (engine === undefined || engine.isDown) {
       return err({ kind: "not-sent", message: "Cannot connect: refused" });
@@ -258,7 +263,7 @@
   }
 }
 
-/** Returns the whole answer of a call that asked for no stream. */
+/** Collects the events of a stream into the answer to a call that did not ask for a stream. */
 async function gatherAnswer(answer: BackendAnswer): Promise<BackendAnswer> {
   if (answer.kind === "whole") return answer;
   const texts: string[] = [];
--- a/standin/fake_fleet.ts
+++ b/standin/fake_fleet.ts
@@ -17,24 +17,27 @@
 import { FakeNetwork } from "./fake_network.ts";
 import { MemoryStore } from "./memory_store.ts";
 
-/** Optional parts of a fleet. */
+/** Options of {@linkcode FakeFleet}. */
 export interface FakeFleetOptions {
-  /** Names of regions. Default: three. */
+  /** Names of the regions. Default: `r1`, `r2` and `r3`. */
   readonly regions?: readonly string[];
-  /** Daemons of each region. Default: 3. */
+  /** Number of daemons in each region. Default: 3. */
   readonly daemonsPerRegion?: number;
-  /** Seed of all randomness. Default: 1. */
+  /** Seed of all random numbers. Default: 1. */
   readonly seed?: number;
-  /** Decisions in place of the product's own. Default: none. */
+  /** Policies that replace those of the product. Default: none. */
   readonly policies?: Policies;
-  /** Time of each store call, in milliseconds. Default: 3. */
+  /** Latency of each store call, in milliseconds. Default: 3. */
   readonly storeLatencyMs?: number;
+  /** Number of journal shards. Default: 4. */
   readonly journalShards?: number;
+  /** Time that the journal waits to write several records together, in milliseconds. Default: 2. */
   readonly journalGatherMs?: number;
-  /** Calls a second that all daemons may make to the store. Default: 300. */
+  /** Store calls per second allowed to all daemons together. Default: 300. */
   readonly storeCallsPerSecond?: number;
+  /** Regions where the store keeps its data. Default: none. */
   readonly storeRegions?: readonly string[];
-  /** Loads of weights a minute over all regions. Default: 600. */
+  /** Loads of model weights per minute allowed in all regions together. Default: 600. */
   readonly weightLoadsPerMinute?: number;
 }
 
@@ -42,15 +45,17 @@
 export interface FakeDaemon {
   readonly record: InstanceRecord;
   readonly gateway: Gateway;
+  /** Aborted when the daemon is killed. */
   readonly ended: AbortController;
 }
 
-/** Token of operators in a fleet. */
+/** Token that authenticates operators in a {@linkcode FakeFleet}. */
 export const FLEET_OPERATOR_TOKEN = "operator-token";
 const PEER_TOKEN = "peer-token-of-the-fleet";
-const LOST_CALL_MS = 1_000;
+/** Time until a call to an unreachable store fails, in milliseconds. */
+const UNREACHABLE_TIMEOUT_MS = 1_000;
 
-/** Real daemons on a virtual clock, with fakes at every interface. */
+/** A fleet of real daemons that run on a virtual clock with a fake network, store and backend. */
 export class FakeFleet {
   readonly clock = new VirtualClock();
   readonly random: Random;
@@ -58,18 +63,18 @@
   readonly backend: FakeBackend;
   readonly store: MemoryStore;
   readonly daemons: FakeDaemon[] = [];
-  /** What the platform's list says. */
+  /** Instances that the platform lists. */
   listed: InstanceRecord[] = [];
   readonly #options: FakeFleetOptions;
-  #seeds: number;
-  readonly #watches = new Map<string, Set<AbortController>>();
+  #nextSeed: number;
+  readonly #watchesByRegion = new Map<string, Set<AbortController>>();
 
-  /** @param options Places, sizes and policies. */
+  /** @param options Regions, sizes and policies. */
   constructor(options: FakeFleetOptions = {}) {
     this.#options = options;
-    this.#seeds = (options.seed ?? 1) * 1_000;
-    this.random = createRandom(this.#seeds++);
-    this.network = new FakeNetwork(this.clock, createRandom(this.#seeds++));
+    this.#nextSeed = (options.seed ?? 1) * 1_000;
+    this.random = createRandom(this.#nextSeed++);
+    this.network = new FakeNetwork(this.clock, createRandom(this.#nextSeed++));
     this.backend = new FakeBackend(this.clock, this.random.nextFloat);
     this.store = new MemoryStore(this.clock);
     this.store.faults.latencyMs = options.storeLatencyMs ?? 3;
@@ -84,12 +89,12 @@
     records.forEach((record) => this.start(record));
   }
 
-  /** Starts a daemon; one that was there before gets a new incarnation. */
+  /** Starts a daemon; a daemon with the same id is replaced by a new incarnation. */
   start(record: InstanceRecord): FakeDaemon {
     const options = this.#options;
     const gateway = new Gateway({
       clock: this.clock,
-      random: createRandom(this.#seeds++),
+      random: createRandom(this.#nextSeed++),
       store: this.#createStoreView(record),
       instances: { read: () => Promise.resolve(ok(this.listed)) },
       directory: { publish: () => Promise.resolve(ok(undefined)) },
@@ -112,8 +117,10 @@
     });
     const ended = new AbortController();
     const daemon = { record, gateway, ended };
-    const at = this.daemons.findIndex((known) => known.record.id === record.id);
-    if (at >= 0) this.daemons[at] = daemon;
+    const index = this.daemons.findIndex((known) =>
+      known.record.id === record.id
+    );
+    if (index >= 0) this.daemons[index] = daemon;
     else this.daemons.push(daemon);
     this.network.connect(record, gateway);
     this.backend.gateways.set(record.callerUrl, {
@@ -124,32 +131,32 @@
     return daemon;
   }
 
-  /** Cuts a region off from all others, and from the store. */
+  /** Cuts the connections of a region to all other regions and to the store. */
   cutOff(region: string): void {
     this.network.cutRegions.add(region);
     this.backend.cutRegions = new Set(this.network.cutRegions);
-    this.#watches.get(region)?.forEach((watch) => watch.abort());
+    this.#watchesByRegion.get(region)?.forEach((watch) => watch.abort());
   }
 
-  /** Joins a region again. */
+  /** Restores the connections of a region. */
   rejoin(region: string): void {
     this.network.cutRegions.delete(region);
     this.backend.cutRegions = new Set(this.network.cutRegions);
   }
 
-  /** Ends a daemon at once. */
+  /** Kills a daemon without a graceful shutdown. */
   kill(daemon: FakeDaemon): void {
     daemon.ended.abort();
     this.network.disconnect(daemon.record.id);
     this.backend.gateways.delete(daemon.record.callerUrl);
   }
 
-  /** Ends all daemons. */
+  /** Kills all daemons. */
   stop(): void {
     this.daemons.forEach((daemon) => this.kill(daemon));
   }
 
-  /** Applies resources through one daemon and lets time pass until all have them. */
+  /** Applies resources through one daemon and advances the clock by 3 s, in which they reach all daemons. */
   async apply(
     changes: readonly {
       readonly kind: string;
@@ -167,15 +174,15 @@
     return await reply;
   }
 
-  /** The store as it is seen from a region: cut off with it. */
+  /** Returns the store as a daemon reaches it: unreachable while the daemon's region is cut off. */
   #createStoreView({ region }: InstanceRecord): Store {
     const { store, network, clock } = this;
     const guard = async <T>(run: () => StoreResult<T>): StoreResult<T> => {
       if (!network.cutRegions.has(region)) return await run();
-      await waitFor(clock, LOST_CALL_MS);
+      await waitFor(clock, UNREACHABLE_TIMEOUT_MS);
       return err({
         kind: "unavailable",
-        message: "Cannot reach the store: cut off",
+        message: "Cannot reach the store: the region is cut off",
       });
     };
     return {
@@ -186,16 +193,19 @@
       renewLease: (leaseId) => guard(() => store.renewLease(leaseId)),
       revokeLease: (leaseId) => guard(() => store.revokeLease(leaseId)),
       watch: (prefix, signal) => {
-        const ended = new AbortController();
-        if (network.cutRegions.has(region)) ended.abort();
-        const known = this.#watches.get(region) ?? new Set();
-        this.#watches.set(region, known.add(ended));
-        return store.watch(prefix, AbortSignal.any([signal, ended.signal]));
+        const watchController = new AbortController();
+        if (network.cutRegions.has(region)) watchController.abort();
+        const known = this.#watchesByRegion.get(region) ?? new Set();
+        this.#watchesByRegion.set(region, known.add(watchController));
+        return store.watch(
+          prefix,
+          AbortSignal.any([signal, watchController.signal]),
+        );
       },
     };
   }
 
-  /** Makes a call at a daemon. */
+  /** Sends a request to a daemon. */
   call(
     daemon: FakeDaemon,
     request: {
@@ -218,7 +228,7 @@
   }
 }
 
-/** Returns the SHA-256 of a token, as a team declares it. */
+/** Returns the SHA-256 of a token in hexadecimal digits, as teams declare it. */
 export function hashToken(token: string): string {
   return createHash("sha256").update(token).digest("hex");
 }
--- a/standin/fake_network.ts
+++ b/standin/fake_network.ts
@@ -12,7 +12,7 @@
   PeerTransport,
 } from "../peers/mod.ts";
 
-/** What a daemon offers to the network. */
+/** The methods of a daemon that the network calls. */
 export interface FakePeer {
   receiveHeartbeat(heartbeat: Heartbeat): void;
   handlePeerCall<Method extends PeerMethod>(
@@ -21,33 +21,37 @@
   ): Promise<PeerMethods[Method]["result"]>;
 }
 
-/** Bytes and messages of one daemon. */
+/** Traffic of one daemon, in bytes and messages. */
 export interface TrafficCounts {
+  /** Bytes of heartbeats sent. */
   sentBytes: number;
+  /** Bytes of heartbeats received. */
   receivedBytes: number;
   heartbeats: number;
   calls: number;
+  /** Bytes of the calls that the daemon made, with their answers. */
   callBytes: number;
 }
 
 const UDP_HEADER_BYTES = 28;
-/** Bytes that the headers of HTTP and TCP add to a call, both ways. */
+/** Bytes that HTTP and TCP headers add to a call and its answer together. */
 const CALL_HEADER_BYTES = 420;
 const CALL_TIMEOUT_MS = 1_000;
-const KEY = "a key of sixteen bytes";
+const HEARTBEAT_KEY = "a key of sixteen bytes";
 
-/** A network in memory: latencies, losses, cuts, and counts of bytes. */
+/** A network in memory that simulates latency, packet loss and cut connections, and counts traffic. */
 export class FakeNetwork {
-  /** Share of heartbeats that are lost. */
+  /** Fraction of heartbeats that are lost, from 0 to 1. */
   lossShare = 0;
   /** One-way latency between regions, in milliseconds. */
-  farMs = 25;
+  remoteLatencyMs = 25;
   /** One-way latency inside a region, in milliseconds. */
-  nearMs = 1.5;
-  /** Regions that are cut off from all others. */
+  localLatencyMs = 1.5;
+  /** Regions whose connections to all other regions are cut. */
   readonly cutRegions = new Set<string>();
-  /** Instances that are paused or dead: nothing reaches them or leaves them. */
+  /** Ids of paused or dead instances, which send and receive nothing. */
   readonly silent = new Set<string>();
+  /** Traffic by id of the instance. */
   readonly counts = new Map<string, TrafficCounts>();
   readonly #clock: Clock;
   readonly #random: Random;
@@ -55,24 +59,24 @@
 
   /**
    * @param clock Source of time.
-   * @param random Source of losses.
+   * @param random Source of random numbers, which decide whether a heartbeat is lost.
    */
   constructor(clock: Clock, random: Random) {
     this.#clock = clock;
     this.#random = random;
   }
 
-  /** Connects a daemon. */
+  /** Connects a daemon to the network. */
   connect(record: InstanceRecord, peer: FakePeer): void {
     this.#peers.set(record.id, peer);
   }
 
-  /** Disconnects a daemon. */
+  /** Disconnects a daemon from the network. */
   disconnect(id: string): void {
     this.#peers.delete(id);
   }
 
-  /** Returns the counts of one daemon. */
+  /** Returns the traffic of one daemon. */
   readCounts(id: string): TrafficCounts {
     const known = this.counts.get(id);
     if (known !== undefined) return known;
@@ -87,20 +91,22 @@
     return counts;
   }
 
-  /** Whether something from one place reaches another now. */
-  isOpen(from: InstanceRecord, to: InstanceRecord): boolean {
+  /** Returns whether messages from one instance currently reach another. */
+  canReach(from: InstanceRecord, to: InstanceRecord): boolean {
     if (this.silent.has(from.id) || this.silent.has(to.id)) return false;
     const isCut = this.cutRegions.has(from.region) ||
       this.cutRegions.has(to.region);
     return from.region === to.region || !isCut;
   }
 
-  /** One-way latency, in milliseconds. */
+  /** Returns the one-way latency between two instances, in milliseconds. */
   readLatencyMs(from: InstanceRecord, to: InstanceRecord): number {
-    return from.region === to.region ? this.nearMs : this.farMs;
+    return from.region === to.region
+      ? this.localLatencyMs
+      : this.remoteLatencyMs;
   }
 
-  /** Returns the transport of one daemon. */
+  /** Returns the transport that a daemon uses to reach its peers. */
   createTransport(self: InstanceRecord): PeerTransport {
     return {
       send: (to, heartbeat) => this.#send(self, to, heartbeat),
@@ -109,15 +115,16 @@
   }
 
   #send(from: InstanceRecord, to: InstanceRecord, heartbeat: Heartbeat): void {
-    const bytes = encodeHeartbeat(heartbeat, KEY).length + UDP_HEADER_BYTES;
+    const bytes = encodeHeartbeat(heartbeat, HEARTBEAT_KEY).length +
+      UDP_HEADER_BYTES;
     const counts = this.readCounts(from.id);
     counts.sentBytes += bytes;
     counts.heartbeats++;
-    if (!this.isOpen(from, to) || this.#random.nextFloat() < this.lossShare) {
+    if (!this.canReach(from, to) || this.#random.nextFloat() < this.lossShare) {
       return;
     }
     this.#clock.schedule(this.readLatencyMs(from, to), () => {
-      if (!this.isOpen(from, to)) return;
+      if (!this.canReach(from, to)) return;
       this.readCounts(to.id).receivedBytes += bytes;
       this.#peers.get(to.id)?.receiveHeartbeat(heartbeat);
     });
@@ -135,26 +142,29 @@
     const counts = this.readCounts(from.id);
     counts.calls++;
     const latencyMs = this.readLatencyMs(from, to);
-    if (!this.isOpen(from, to)) {
+    if (!this.canReach(from, to)) {
       await waitFor(this.#clock, CALL_TIMEOUT_MS);
       return err({
         kind: "unknown",
-        message: "Cannot reach the peer: no answer",
+        message: "Cannot reach the peer: no answer within the timeout",
       });
     }
     await waitFor(this.#clock, latencyMs);
     const peer = this.#peers.get(to.id);
     if (peer === undefined) {
-      return err({ kind: "unreachable", message: "The peer is down" });
+      return err({
+        kind: "unreachable",
+        message: "Cannot reach the peer: it is down",
+      });
     }
     const result = await peer.handlePeerCall(method, params);
     await waitFor(this.#clock, latencyMs);
     counts.callBytes += JSON.stringify({ params, result }).length +
       CALL_HEADER_BYTES;
-    if (this.isOpen(from, to)) return ok(result);
+    if (this.canReach(from, to)) return ok(result);
     return err({
       kind: "unknown",
-      message: "Cannot reach the peer: the answer is lost",
+      message: "Cannot read the answer of the peer: it was lost",
     });
   }
 }
--- a/standin/http_basics.ts
+++ b/standin/http_basics.ts
@@ -1,13 +1,13 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** Reads the whole body of a request to a stand-in. */
+/** Returns the whole body of a request to a stand-in. */
 export async function readBody(message: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of message) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks);
 }
 
-/** Sends JSON as the whole answer of a stand-in. */
+/** Sends a JSON body as the complete answer of a stand-in. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/standin/loopback_net.ts
+++ b/standin/loopback_net.ts
@@ -1,14 +1,15 @@
-/** Addresses from here on are spread over processes; 127.0.0.x stays for others. */
+/** First value of the second octet of the addresses that processes get; 127.0.0.x is left to other uses. */
 const FIRST_NET = 64;
 const NETS = 128;
 const SUBNETS = 256;
 
 /**
- * Returns a loopback address that only this process uses, so that a port that is
- * free on it stays free: tests run in several processes at a time, and what is
- * free on 127.0.0.1 may be taken before it is opened.
+ * Returns a loopback address derived from the id of this process. Tests run in
+ * several processes at the same time: a port that is free on 127.0.0.1 may be taken
+ * by another process before it is opened, while a port that is free on an address
+ * of one process stays free.
  *
- * @param host Last number of the address, from 1 to 254.
+ * @param host Last octet of the address, from 1 to 254.
  */
 export function toOwnLoopback(host: number): string {
   const { pid } = process;
--- a/standin/loopback_server.ts
+++ b/standin/loopback_server.ts
@@ -6,20 +6,20 @@
 } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** An HTTP server of a stand-in, on loopback, that can die like a process. */
+/** An HTTP server on loopback that can be stopped abruptly, as if its process had crashed. */
 export abstract class LoopbackServer {
   readonly #server = createServer((message, response) =>
     void this.serve(message, response)
   );
   readonly #sockets = new Set<Socket>();
 
-  /** Base URL, after {@linkcode start}. */
+  /** Base URL; available after {@linkcode start}. */
   get url(): string {
     return `http://127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
   /**
-   * Starts to listen.
+   * Starts to listen on 127.0.0.1.
    *
    * @param port Port; 0 picks a free one. Default: 0.
    */
@@ -32,7 +32,7 @@
     await once(this.#server, "listening");
   }
 
-  /** Closes every connection at once and listens no more. */
+  /** Stops listening and closes all connections immediately. */
   async die(): Promise<void> {
     const closed = new Promise<void>((resolve) =>
       this.#server.close(() => resolve())
--- a/standin/memory_store.ts
+++ b/standin/memory_store.ts
@@ -16,19 +16,19 @@
   type SwapOutcome,
 } from "../store/mod.ts";
 
-/** Faults that a test or an experiment can set while the store runs. */
+/** Faults of the store, which can be set while it runs. */
 export interface StoreFaults {
-  /** Every call fails and every watch ends. */
+  /** Whether every call fails and every watch ends; set with {@linkcode MemoryStore.setDown}. */
   isDown: boolean;
-  /** Time that each call takes, in milliseconds. */
+  /** Latency of each call, in milliseconds. */
   latencyMs: number;
-  /** Writes that take effect and whose answer is then lost. Counts down. */
+  /** Number of coming writes that take effect but whose answer is lost. Counts down. */
   loseAnswers: number;
-  /** Writes that do not take effect and whose answer is lost. Counts down. */
+  /** Number of coming writes that take no effect and whose answer is lost. Counts down. */
   loseRequests: number;
 }
 
-/** Calls that were counted, a waiting watch as one. */
+/** Numbers of calls to the store; a watch counts once, however long it waits. */
 export interface StoreCounts {
   reads: number;
   writes: number;
@@ -44,11 +44,11 @@
 
 type LeasedEntry = StoreEntry & { readonly leaseId: string | undefined };
 
-/** An older copy of a store, which it may come back from. */
+/** A copy of a store, from which the store can be restored. */
 export interface StoreBackup {
   readonly revision: number;
   readonly entries: ReadonlyMap<string, LeasedEntry>;
-  /** Time to live of each lease, in milliseconds. */
+  /** Time to live by lease id, in milliseconds. */
   readonly leaseTtlsMs: ReadonlyMap<string, number>;
   readonly leaseSequence: number;
 }
@@ -60,9 +60,9 @@
   isClosed: boolean;
 }
 
-/** A stand-in for the platform's key-value service, in memory. */
+/** A stand-in for the platform's key-value store that keeps its data in memory. */
 export class MemoryStore implements RevisionedStore {
-  /** Faults in force now. */
+  /** Current faults. */
   readonly faults: StoreFaults = {
     isDown: false,
     latencyMs: 0,
@@ -84,12 +84,12 @@
   #revision = 0;
   #leaseSequence = 0;
   #history: StoreEvent[] = [];
-  /** Changes up to this revision are no longer in the history. */
+  /** Revision up to which changes are no longer in the history. */
   #compactedRevision = 0;
   readonly #changeWaits = new Set<AbortController>();
   readonly #clock: Clock;
 
-  /** @param clock Source of time for latency and leases. */
+  /** @param clock Source of time for latencies and leases. */
   constructor(clock: Clock) {
     this.#clock = clock;
   }
@@ -105,7 +105,10 @@
     return new Map(this.#entries);
   }
 
-  /** Puts the store back to an older state, as an operator's restore would. */
+  /**
+   * Replaces all entries by those of a snapshot, as an operator's restore would. The
+   * revision goes on counting, and the entries lose their leases.
+   */
   restore(snapshot: ReadonlyMap<string, StoreEntry>): void {
     this.#entries = new Map(
       [...snapshot].map((
@@ -115,12 +118,12 @@
     this.#closeWatchers();
   }
 
-  /** How often it came back from a backup. */
+  /** Number of times that the store was restored from a backup. */
   get era(): number {
     return this.#era;
   }
 
-  /** Returns a copy that it may come back from later. */
+  /** Returns a backup for a later {@linkcode restoreBackup}. */
   createBackup(): StoreBackup {
     return {
       revision: this.#revision,
@@ -133,8 +136,8 @@
   }
 
   /**
-   * Comes back from a copy, in a new era: what was written since is lost, and revisions
-   * and ids of leases are given out again.
+   * Restores the store from a backup and starts a new era. Later writes are lost, and
+   * revisions and lease ids that were used after the backup are used a second time.
    */
   restoreBackup(backup: StoreBackup): void {
     const nowMs = this.#clock.nowMs();
@@ -155,14 +158,14 @@
 
   async read(key: string): StoreResult<StoreEntry | undefined> {
     this.counts.reads++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     return ok(this.#entries.get(key));
   }
 
   async readPrefix(prefix: string): StoreResult<readonly StoreEntry[]> {
     this.counts.reads++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     const found = [...this.#entries.values()].filter((entry) =>
       entry.key.startsWith(prefix)
@@ -184,19 +187,19 @@
     options: StoreCallOptions = {},
   ): StoreResult<StoreChanges> {
     this.counts.watches++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     const { afterRevision, prefix, waitMs } = request;
     const listEvents = () =>
       this.#history.filter(({ key, revision }) =>
         revision > afterRevision && key.startsWith(prefix)
       );
-    const isUnknown = afterRevision < this.#compactedRevision ||
+    const isOutsideHistory = afterRevision < this.#compactedRevision ||
       afterRevision > this.#revision;
-    if (isUnknown) return ok({ kind: "compacted", era: this.#era });
-    if (listEvents().length === 0) await this.#awaitWrite(waitMs, options);
-    const closed = await this.#enter();
-    if (closed) return err(closed);
+    if (isOutsideHistory) return ok({ kind: "compacted", era: this.#era });
+    if (listEvents().length === 0) await this.#awaitNextWrite(waitMs, options);
+    const laterFailure = await this.#beginCall();
+    if (laterFailure) return err(laterFailure);
     return ok({
       kind: "changes",
       events: listEvents(),
@@ -205,7 +208,7 @@
     });
   }
 
-  /** Drops the history: watches from an earlier revision must read anew. */
+  /** Drops the history; whoever waits for changes after an earlier revision must read a new snapshot. */
   compact(): void {
     this.#history = [];
     this.#compactedRevision = this.#revision;
@@ -221,7 +224,7 @@
         message: `Cannot write ${swap.key}: value over the limit`,
       });
     }
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     if (this.faults.loseRequests > 0) {
       this.faults.loseRequests--;
@@ -243,7 +246,7 @@
 
   async grantLease(ttlMs: number): StoreResult<string> {
     this.counts.writes++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     const leaseId = String(++this.#leaseSequence);
     this.#leases.set(leaseId, {
@@ -255,7 +258,7 @@
 
   async renewLease(leaseId: string): StoreResult<boolean> {
     this.counts.writes++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     const lease = this.#leases.get(leaseId);
     if (lease === undefined) return ok(false);
@@ -265,7 +268,7 @@
 
   async revokeLease(leaseId: string): StoreResult<void> {
     this.counts.writes++;
-    const failure = await this.#enter();
+    const failure = await this.#beginCall();
     if (failure) return err(failure);
     this.#dropLease(leaseId);
     return ok(undefined);
@@ -343,7 +346,8 @@
       .forEach((entry) => this.#write(entry.key, undefined, undefined));
   }
 
-  async #enter(): Promise<StoreFailure | undefined> {
+  /** Waits for the latency and expires leases; returns a failure if the store is down. */
+  async #beginCall(): Promise<StoreFailure | undefined> {
     if (this.faults.latencyMs > 0) {
       await waitFor(this.#clock, this.faults.latencyMs);
     }
@@ -356,7 +360,10 @@
     };
   }
 
-  async #awaitWrite(waitMs: number, options: StoreCallOptions): Promise<void> {
+  async #awaitNextWrite(
+    waitMs: number,
+    options: StoreCallOptions,
+  ): Promise<void> {
     const wait = new AbortController();
     this.#changeWaits.add(wait);
     const end = () => wait.abort("ended");
--- a/standin/mod.ts
+++ b/standin/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins for the platform, the engines and the plain services, for
- * tests, benchmarks and the embedded deployment.
+ * Stand-ins (test doubles) for the platform, model engines and plain services.
+ * Tests, benchmarks and the embedded deployment use them.
  *
  * @example
  * ```ts
--- a/standin/plain_server.ts
+++ b/standin/plain_server.ts
@@ -3,15 +3,15 @@
 import { readBody, sendJson } from "./http_basics.ts";
 import { LoopbackServer } from "./loopback_server.ts";
 
-/** Faults of a plain service, set while it runs. */
+/** Faults of a plain service, which can be set while it runs. */
 export interface PlainFaults {
-  /** Do the work, then close the connection without an answer. */
+  /** Number of coming calls that are carried out, but whose connection is closed without an answer. */
   loseAnswers: number;
-  /** Time that each call takes, in milliseconds. */
+  /** Duration of each call, in milliseconds. */
   latencyMs: number;
 }
 
-/** One call that the service has carried out. */
+/** A call that the service has carried out. */
 export interface PlainRun {
   readonly method: string;
   readonly path: string;
@@ -20,7 +20,7 @@
   readonly region: string;
 }
 
-/** A stand-in for a plain service: it records every call, and answers with its number. */
+/** A stand-in for a plain service. Records every call and answers with the call's sequence number. */
 export class PlainServer extends LoopbackServer {
   readonly faults: PlainFaults = { loseAnswers: 0, latencyMs: 0 };
   readonly runs: PlainRun[] = [];
@@ -29,7 +29,7 @@
 
   /**
    * @param clock Source of time.
-   * @param region Where it stands.
+   * @param region Region of the service.
    */
   constructor(clock: Clock, region: string) {
     super();
--- a/standin/platform_headers.ts
+++ b/standin/platform_headers.ts
@@ -1,16 +1,16 @@
-/** Names the caller's call, and is echoed by the server that answers. */
+/** Id of the caller's call; the server that answers sends the id back. */
 export const CALL_ID_HEADER = "x-havenspur-attempt-id";
-/** Milliseconds that the caller will wait. */
+/** Time that the caller will still wait, in milliseconds. */
 export const REMAINING_HEADER = "x-havenspur-deadline-remaining";
-/** Says that an answer is the server's own. */
+/** Marks an answer as created by the backend server itself. */
 export const SIGNATURE_HEADER = "x-havenspur-response-signature";
-/** The only server that may run the call. */
+/** Id of the only server that may run the call. */
 export const EXPECTED_SERVER_HEADER = "x-havenspur-expected-instance";
-/** Says that a server did not run the call. */
+/** Marks an answer of a server that did not run the call. */
 export const NOT_EXECUTED_HEADER = "x-havenspur-not-executed";
-/** Names the team whose call it is; the gateway alone sets it. */
+/** Team that the call belongs to; only the gateway sets this header. */
 export const TEAM_HEADER = "x-havenspur-tenant";
-/** Says in any answer that its server leaves. */
+/** In any answer: the server that answers is shutting down. */
 export const LEAVING_HEADER = "server-leaving";
-/** Says in any answer how many calls a second its server takes from all instances together. */
+/** In any answer: calls per second that the server accepts from all instances together. */
 export const LIMIT_HEADER = "server-limit";
--- a/standin/platform_operator.ts
+++ b/standin/platform_operator.ts
@@ -1,14 +1,14 @@
 import { type Clock, waitFor } from "../clock/mod.ts";
 import type { MemoryStore } from "./memory_store.ts";
 
-/** A backend server as it registers itself. */
+/** The registration of a backend server. */
 export interface ServerEntry {
   readonly id: string;
   readonly service: string;
   readonly address: string;
   readonly region: string;
   readonly isDraining: boolean;
-  /** When it started, in milliseconds since the epoch. */
+  /** Start time, in milliseconds since the epoch. */
   readonly startedMs: number;
 }
 
@@ -30,25 +30,25 @@
   readonly keys: readonly string[];
 }
 
-/** Pause after a write that the store did not take, in milliseconds. */
-const RETRY_PAUSE_MS = 100;
-const LIMITS = {
+/** Delay before a failed write is retried, in milliseconds. */
+const RETRY_DELAY_MS = 100;
+const REQUEST_LIMITS = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 100_000,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
 
-/** Writes to the store what operators and backend servers write there. */
+/** Writes the entries of operators and backend servers to the store. */
 export class PlatformOperator {
   readonly #store: MemoryStore;
   readonly #clock: Clock;
   #sequence = 0;
-  /** What was written last under each key; `undefined`: it was removed. */
+  /** Last value written to each key; `undefined`: the key was removed. */
   readonly #written = new Map<string, string | undefined>();
 
   /**
-   * @param store Stands in for the platform's.
+   * @param store Stand-in for the platform's store.
    * @param clock Source of time.
    */
   constructor(store: MemoryStore, clock: Clock) {
@@ -57,11 +57,11 @@
   }
 
   /**
-   * Puts a configuration in the store.
+   * Writes a configuration.
    *
-   * @param version Higher than the one before.
+   * @param version Version number, higher than the one before.
    * @param routes All routes.
-   * @param teams All teams; `undefined`: nobody is identified.
+   * @param teams All teams; `undefined`: callers are not identified.
    */
   async configure(
     version: number,
@@ -78,18 +78,18 @@
         resumable: route.kind === "streaming",
       })),
       services: services.map((name) => ({ name, maxConnections: 200 })),
-      limits: LIMITS,
+      limits: REQUEST_LIMITS,
       tenants: teams?.map(({ keys, name }) => ({ name, apiKeys: keys })),
     });
   }
 
-  /** Begins or ends the evacuation of a region's failure domain. */
+  /** Starts or ends the evacuation of a region's failure domain. */
   async setEvacuated(region: string, isEvacuated: boolean): Promise<void> {
     const key = `op/evacuate/${region}-a`;
     await this.#put(key, isEvacuated ? {} : undefined);
   }
 
-  /** Writes a server's entry. */
+  /** Writes the entry of a server. */
   async register(server: ServerEntry): Promise<void> {
     await this.#put(`servers/${server.id}`, {
       service: server.service,
@@ -104,40 +104,40 @@
     });
   }
 
-  /** Writes bytes over a server's entry that are none. */
+  /** Overwrites the entry of a server with a value that is not a valid entry. */
   async overwrite(id: string): Promise<void> {
     await this.#put(`servers/${id}`, "no entry");
   }
 
-  /** Removes a server's entry. */
+  /** Removes the entry of a server. */
   async unregister(id: string): Promise<void> {
     await this.#put(`servers/${id}`, undefined);
   }
 
-  /** Writes all once more that a store has lost as it came back from a copy. */
+  /** Writes all last values again, so that a store restored from an older copy regains those that it lost. */
   async writeAgain(): Promise<void> {
     for (const key of [...this.#written.keys()]) {
-      // Another write of the key may have come meanwhile.
+      // The value is read on each attempt, since another write may have changed it.
       while (!await this.#tryPut(key, this.#written.get(key))) {
-        await waitFor(this.#clock, RETRY_PAUSE_MS);
+        await waitFor(this.#clock, RETRY_DELAY_MS);
       }
     }
   }
 
-  /** Writes until the store says that it took the write: it may be away. */
+  /** Retries the write until the store confirms it, since the store may be unavailable. */
   async #put(key: string, value: unknown): Promise<void> {
     const text = value === undefined ? undefined : JSON.stringify(value);
     this.#written.set(key, text);
     while (!await this.#tryPut(key, text)) {
-      await waitFor(this.#clock, RETRY_PAUSE_MS);
+      await waitFor(this.#clock, RETRY_DELAY_MS);
     }
   }
 
   async #tryPut(key: string, value: string | undefined): Promise<boolean> {
-    const known = await this.#store.read(key);
-    if (known.isErr()) return false;
-    if (known.value?.value === value) return true;
-    const expectedRevision = known.value?.revision ?? 0;
+    const current = await this.#store.read(key);
+    if (current.isErr()) return false;
+    if (current.value?.value === value) return true;
+    const expectedRevision = current.value?.revision ?? 0;
     const swapped = await this.#store.swap({ key, value, expectedRevision });
     return swapped.isOk() && swapped.value.kind === "written";
   }
--- a/standin/platform_process.ts
+++ b/standin/platform_process.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from "node:url";
 import { request } from "undici";
 
-/** Ports of an instance, free on every address that only this process uses. */
+/** Ports of an instance. They are free on each loopback address that only this process uses. */
 export const PLATFORM_PORTS = {
   callers: 8_144,
   readiness: 8_140,
@@ -15,53 +15,56 @@
   peers: 7_660,
 } as const;
 
-/** How long an instance may take to say how it is, in milliseconds. */
-const ASK_TIMEOUT_MS = 1_000;
+/** Timeout of a request to an instance, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 1_000;
 
-/** What a process of the platform's program is started with. */
+/** Constructor arguments of {@linkcode PlatformProcess}. */
 export interface PlatformProcessParts {
   /** Path of the built program. */
   readonly program: string;
   readonly name: string;
-  /** Loopback address of its own. */
+  /** Loopback address that only this instance uses. */
   readonly host: string;
   readonly region: string;
   /** All regions; each has one failure domain, named after it with `-a`. */
   readonly regions: readonly string[];
+  /** Loopback addresses of the instances that this one contacts first. */
   readonly seedHosts: readonly string[];
-  /** IP address and port. */
+  /** IP address and port of the store. */
   readonly storeAddress: string;
   /** Time from SIGTERM to SIGKILL, in seconds. */
   readonly graceS: number;
 }
 
-/** One instance as a process of its own, with its settings file. */
+/** An instance that runs the platform's program in a separate process, with its own settings file. */
 export class PlatformProcess {
   readonly #parts: PlatformProcessParts;
   readonly #folder = mkdtempSync(join(tmpdir(), "instance-"));
   #child: ChildProcess | undefined;
   #starts = 0;
 
-  /** @param parts Program, address and what the settings say. */
+  /** @param parts Program, address and settings. */
   constructor(parts: PlatformProcessParts) {
     this.#parts = parts;
     writeFileSync(this.#settingsPath, formatSettings(parts));
   }
 
+  /** Loopback address of the instance. */
   get host(): string {
     return this.#parts.host;
   }
 
+  /** Name of the instance. */
   get name(): string {
     return this.#parts.name;
   }
 
-  /** How often it was started. */
+  /** Number of times that the program was started. */
   get starts(): number {
     return this.#starts;
   }
 
-  /** Id of the running process, or `undefined`. */
+  /** Id of the running process; `undefined`: it is not running. */
   get pid(): number | undefined {
     const child = this.#child;
     const hasEnded = child === undefined || child.exitCode !== null ||
@@ -69,23 +72,23 @@
     return hasEnded ? undefined : child.pid;
   }
 
-  /** Whether it says that it takes calls. */
+  /** Returns whether the instance reports that it accepts calls. */
   async isReady(): Promise<boolean> {
     return await this.readReadiness() === 200;
   }
 
-  /** Returns the status of its readiness check; 0: no answer. */
+  /** Returns the HTTP status of the readiness check; 0: no answer. */
   async readReadiness(): Promise<number> {
     const answer = await this.#get("readiness", "/havenspur/readiness");
     return answer?.status ?? 0;
   }
 
   /**
-   * Returns the addresses of instances that its directory names, or `undefined`
-   * where it does not answer or names none.
+   * Returns the addresses of instances from the directory, or `undefined` if the
+   * directory does not answer or does not know any.
    *
    * @param callHost Host that the caller wants to call.
-   * @param region Where the caller is. Default: where the instance is.
+   * @param region Region of the caller. Default: the region of the instance.
    */
   async listEntries(
     callHost: string,
@@ -100,7 +103,7 @@
       .addresses;
   }
 
-  /** Starts the program; its log is thrown away, its errors are shown. */
+  /** Starts the program; its standard output is discarded, its standard error is shown. */
   start(): void {
     const child = spawn(process.execPath, [this.#parts.program], {
       env: { PATH: process.env.PATH, HAVENSPUR_SETTINGS: this.#settingsPath },
@@ -110,19 +113,19 @@
     this.#starts++;
     const { pid } = child;
     if (pid === undefined) return;
-    noteStarted(pid);
-    child.once("exit", () => noteEnded(pid));
+    recordStart(pid);
+    child.once("exit", () => recordEnd(pid));
   }
 
-  /** Sends a signal, if it runs. */
+  /** Sends a signal to the process if it is running. */
   signal(name: NodeJS.Signals): void {
     if (this.pid !== undefined) this.#child?.kill(name);
   }
 
   /**
-   * Resolves when the process has ended.
+   * Waits until the process has exited.
    *
-   * @returns Its exit code, or `null` if a signal ended it.
+   * @returns Exit code, or `null` if a signal ended the process.
    */
   async awaitEnd(): Promise<number | null> {
     if (this.pid === undefined) return this.#child?.exitCode ?? null;
@@ -130,7 +133,7 @@
     return code as number | null;
   }
 
-  /** Kills the process and removes its files. */
+  /** Kills the process and removes its settings file. */
   destroy(): void {
     this.signal("SIGKILL");
     rmSync(this.#folder, { recursive: true, force: true });
@@ -143,11 +146,11 @@
     try {
       const { body, statusCode } = await request(
         `http://${this.host}:${PLATFORM_PORTS[port]}${path}`,
-        { signal: AbortSignal.timeout(ASK_TIMEOUT_MS) },
+        { signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) },
       );
       return { status: statusCode, text: await body.text() };
     } catch {
-      // Not listening yet, not any more, or standing still.
+      // The instance is not listening yet, has stopped listening, or is stalled.
       return undefined;
     }
   }
@@ -178,29 +181,29 @@
 }
 
 const running = new Set<number>();
-let guard: ChildProcess | undefined;
+let guardProcess: ChildProcess | undefined;
 
 /**
- * Tells a guard process which ids to end should this process be killed: nobody
- * else would end them.
+ * Reports a process to the guard process. If this process is killed, only the guard
+ * process can end the processes that this one started.
  */
-function noteStarted(pid: number): void {
+function recordStart(pid: number): void {
   running.add(pid);
-  if (guard === undefined) {
+  if (guardProcess === undefined) {
     const path = fileURLToPath(new URL("end_orphans.js", import.meta.url));
-    guard = spawn(process.execPath, [path], {
+    guardProcess = spawn(process.execPath, [path], {
       stdio: ["pipe", "ignore", "inherit"],
       detached: true,
     });
-    guard.unref();
-    // Neither it nor its pipe keeps this process alive.
-    (guard.stdin as unknown as { unref(): void }).unref();
-    guard.stdin?.on("error", () => {});
+    guardProcess.unref();
+    // Neither the guard process nor the pipe to it may keep this process running.
+    (guardProcess.stdin as unknown as { unref(): void }).unref();
+    guardProcess.stdin?.on("error", () => {});
   }
-  guard.stdin?.write(`started ${pid}\n`);
+  guardProcess.stdin?.write(`started ${pid}\n`);
 }
 
-function noteEnded(pid: number): void {
+function recordEnd(pid: number): void {
   running.delete(pid);
-  guard?.stdin?.write(`ended ${pid}\n`);
+  guardProcess?.stdin?.write(`ended ${pid}\n`);
 }
--- a/standin/platform_server.ts
+++ b/standin/platform_server.ts
@@ -5,7 +5,7 @@
 import { LoopbackServer } from "./loopback_server.ts";
 import { MemoryStore } from "./memory_store.ts";
 
-/** One row of the platform's list of instances. */
+/** An entry of the platform's list of instances. */
 export interface ListedInstance {
   readonly id: string;
   readonly region: string;
@@ -25,12 +25,12 @@
   }];
 }
 
-/** A stand-in for the platform: its key-value service, its list and its directory. */
+/** A stand-in for the platform that serves the key-value store, the list of instances and the directory. */
 export class PlatformServer extends LoopbackServer {
   readonly store: MemoryStore;
-  /** What the list says; it shows changes after the lag. */
+  /** URLs in the directory, by region. */
   readonly directory = new Map<string, readonly string[]>();
-  /** Lag of the list, in milliseconds. */
+  /** Delay until a change of the list is served, in milliseconds. */
   listLagMs = 0;
   readonly #clock: Clock;
   #listed: readonly ListedInstance[] = [];
@@ -42,7 +42,7 @@
     this.store = new MemoryStore(clock);
   }
 
-  /** Sets the list of instances; it is seen after the lag. */
+  /** Sets the list of instances, which is served after {@linkcode listLagMs}. */
   setInstances(instances: readonly ListedInstance[]): void {
     void waitFor(this.#clock, this.listLagMs).then(() => {
       this.#listed = instances;
@@ -104,19 +104,19 @@
         return await this.#serveWatch(text, response);
       case "/v3/lease/grant": {
         const granted = await this.store.grantLease(Number(body.TTL) * 1_000);
-        if (granted.isErr()) return fail(response, granted.error);
+        if (granted.isErr()) return sendFailure(response, granted.error);
         return sendJson(response, 200, { ID: granted.value, TTL: body.TTL });
       }
       case "/v3/lease/keepalive": {
         const renewed = await this.store.renewLease(String(body.ID));
-        if (renewed.isErr()) return fail(response, renewed.error);
+        if (renewed.isErr()) return sendFailure(response, renewed.error);
         return sendJson(response, 200, {
           result: { TTL: renewed.value ? "1" : "0" },
         });
       }
       case "/v3/lease/revoke": {
         const revoked = await this.store.revokeLease(String(body.ID));
-        if (revoked.isErr()) return fail(response, revoked.error);
+        if (revoked.isErr()) return sendFailure(response, revoked.error);
         return sendJson(response, 200, {});
       }
       default:
@@ -134,7 +134,7 @@
         entry === undefined ? [] : [entry]
       )
       : await this.store.readPrefix(key);
-    if (found.isErr()) return fail(response, found.error);
+    if (found.isErr()) return sendFailure(response, found.error);
     const kvs = found.value.map((entry) => ({
       key: encode(entry.key),
       value: encode(entry.value),
@@ -154,7 +154,7 @@
         ? {}
         : { leaseId: put.lease }),
     });
-    if (swapped.isErr()) return fail(response, swapped.error);
+    if (swapped.isErr()) return sendFailure(response, swapped.error);
     const outcome = swapped.value;
     const revision = outcome.kind === "written" ? outcome.revision : 0;
     sendJson(response, 200, {
@@ -168,7 +168,7 @@
       readonly create_request: { readonly key: string };
     };
     if (this.store.faults.isDown) {
-      return fail(response, { kind: "unavailable", message: "down" });
+      return sendFailure(response, { kind: "unavailable", message: "down" });
     }
     const ended = new AbortController();
     response.on("close", () => ended.abort());
@@ -196,7 +196,7 @@
   };
 }
 
-function fail(response: ServerResponse, failure: StoreFailure): void {
+function sendFailure(response: ServerResponse, failure: StoreFailure): void {
   if (failure.kind === "unknown") {
     response.destroy();
     return;
--- a/standin/platform_store_server.ts
+++ b/standin/platform_store_server.ts
@@ -9,19 +9,20 @@
 import type { Result } from "neverthrow";
 import type { RevisionedStore, StoreFailure } from "../store/mod.ts";
 
-/** A stand-in for the platform's store that listens on loopback. */
+/** A running stand-in for the platform's store. */
 export interface StoreStandin {
-  /** IP address and port. */
+  /** IP address and port that it listens on. */
   readonly address: string;
+  /** Stops listening and closes all connections. */
   close(): void;
 }
 
-/** Counts how often the store came back from an older copy. */
+/** Header with the number of times that the store was restored from an older copy. */
 const ERA_HEADER = "store-era";
 
-/** What a stand-in answers from. */
+/** The store whose contents a stand-in serves. */
 export type ServedStore = RevisionedStore & {
-  /** 0: its answers do not say. */
+  /** Number of restores from an older copy; 0: answers carry no era. */
   readonly era: number;
 };
 
@@ -44,25 +45,25 @@
 }
 
 /**
- * Serves a store through the platform's calls, so that the client is tested
- * without the platform. It takes transactions of one key, which is all that the
- * project sends.
+ * Serves a store through the platform's HTTP interface, so that the client can be
+ * tested without the platform. Transactions may have one key only; the project sends
+ * no others.
  *
- * @param store What answers.
- * @param port Port on loopback; 0 takes a free one.
+ * @param store Store that is served.
+ * @param port Port on 127.0.0.1; 0 picks a free one. Default: 0.
  */
 export async function startStoreStandin(
   store: ServedStore,
   port = 0,
 ): Promise<StoreStandin> {
   const server: Server = createServer((request, response) => {
-    void answer(store, request, response);
+    void answerRequest(store, request, response);
   });
   server.listen(port, "127.0.0.1");
   await once(server, "listening");
-  const { port: bound } = server.address() as AddressInfo;
+  const { port: boundPort } = server.address() as AddressInfo;
   return {
-    address: `127.0.0.1:${bound}`,
+    address: `127.0.0.1:${boundPort}`,
     close: () => {
       server.close();
       server.closeAllConnections();
@@ -70,7 +71,7 @@
   };
 }
 
-async function answer(
+async function answerRequest(
   store: ServedStore,
   request: IncomingMessage,
   response: ServerResponse,
@@ -78,7 +79,7 @@
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk);
   const text = Buffer.concat(chunks).toString("utf8");
-  const { status, body } = await handle(store, request, text);
+  const { status, body } = await handleCall(store, request, text);
   response.writeHead(status, {
     "content-type": "application/json",
     ...(store.era === 0 ? {} : { [ERA_HEADER]: String(store.era) }),
@@ -86,7 +87,7 @@
   response.end(JSON.stringify(body));
 }
 
-async function handle(
+async function handleCall(
   store: ServedStore,
   request: IncomingMessage,
   text: string,
@@ -186,17 +187,17 @@
   return { status: 503, body: { error: result.error.message } };
 }
 
-/** Items on one page: few, so that tests read several pages. */
+/** Items per page. The number is small so that tests read several pages. */
 const PAGE_ITEMS = 3;
 
 function toPage(
   snapshot: { readonly entries: readonly Item[]; readonly revision: number },
   after: string,
 ) {
-  const rest = snapshot.entries.filter(({ key }) => key > after);
+  const remaining = snapshot.entries.filter(({ key }) => key > after);
   return {
-    items: rest.slice(0, PAGE_ITEMS).map(toItem),
-    hasMore: rest.length > PAGE_ITEMS,
+    items: remaining.slice(0, PAGE_ITEMS).map(toItem),
+    hasMore: remaining.length > PAGE_ITEMS,
     atRevision: snapshot.revision,
   };
 }
--- a/standin/recording_server.ts
+++ b/standin/recording_server.ts
@@ -19,87 +19,91 @@
 } from "./platform_headers.ts";
 import { readBody } from "./http_basics.ts";
 
-/** How a server misbehaves. */
-export type ServerTrouble =
+/** How a server fails. */
+export type ServerFault =
   | "none"
-  /** Takes calls and never answers. */
+  /** Accepts calls and never answers. */
   | "hang"
-  /** Answers with an error of its own, after the work. */
+  /** Runs calls and answers them with an error. */
   | "fail"
-  /** Breaks off in the middle of its answers. */
+  /** Closes the connection in the middle of each answer. */
   | "break-off"
-  /** Turns all calls away, and asks for rest. */
+  /** Refuses all calls and asks for a cool-down. */
   | "rest";
 
-/** Body of a call under which a server ends that runs it. */
+/** Body of a call that crashes each server that runs it. */
 export const ENDING_BODY = "ends the server";
 
-/** A call that a server began to work on. */
+/** A call that a server started to run. */
 export interface RecordedRun {
   readonly callId: string;
   readonly server: string;
   readonly service: string;
   readonly atMs: number;
-  /** The event that it went on after; `undefined`: from the start. */
+  /** Number of the event after which the stream was resumed; `undefined`: it starts at the first event. */
   readonly resumedAfter: number | undefined;
-  /** Whether the server ends of it. */
+  /** Whether the call crashes the server. */
   readonly isEnding: boolean;
-  /** Team that the gateway says; `undefined`: none, or several. */
+  /** Team from the header of the gateway; `undefined`: the header is missing or occurs more than once. */
   readonly team: string | undefined;
-  /** Whether the caller's key came with it. */
+  /** Whether the caller's key was sent with the call. */
   readonly hasKey: boolean;
 }
 
-/** A call that a server turned away as it asked for rest. */
+/** A call that a server refused during its cool-down. */
 export interface RecordedRefusal {
   readonly server: string;
   readonly atMs: number;
 }
 
-/** What a recording server is started with. */
+/** Constructor arguments of {@linkcode RecordingServer}. */
 export interface RecordingServerParts {
   readonly id: string;
   readonly service: string;
   readonly nowMs: () => number;
   readonly record: (run: RecordedRun) => void;
   readonly recordRefusal: (refusal: RecordedRefusal) => void;
-  /** Called when it has ended of a call. */
+  /** Called when a call has crashed the server. */
   readonly onEnded: () => void;
 }
 
-/** Rest that a server asks for, in seconds. */
-export const REST_S = 3;
-/** Work of a call without a stream, in milliseconds. */
-const WORK_MS = 25;
-/** Events of a stream, and the pause between them in milliseconds. */
+/** Cool-down that a server asks for, in seconds. */
+export const COOLDOWN_S = 3;
+/** Time from the start of a run to its answer, in milliseconds. */
+const WORK_DURATION_MS = 25;
+/** Number of events in a stream. */
 export const STREAM_EVENTS = 12;
+/** Pause between the events of a stream, in milliseconds. */
 const EVENT_PAUSE_MS = 20;
 
-/** Returns the body that a server gives to a call without a stream. */
+/** Returns the body of the answer to a call that is not streamed. */
 export function createRecordedBody(callId: string, service: string): string {
   return JSON.stringify({ callId, service, filler: "x".repeat(600) });
 }
 
 /** A backend server that records each call that it runs. */
 export class RecordingServer {
-  trouble: ServerTrouble = "none";
-  /** Whether its answers say that it leaves. */
+  /** Current fault. */
+  trouble: ServerFault = "none";
+  /** Whether answers say that the server is shutting down. */
   saysItLeaves = false;
-  /** Calls a second that its answers name as its limit; `undefined`: none. */
+  /** Limit that answers advertise, in calls per second; `undefined`: none. */
   limitPerSecond: number | undefined;
   readonly #parts: RecordingServerParts;
   readonly #sockets = new Set<Socket>();
   #server: Server | undefined;
 
-  /** @param parts Identity and who hears of runs. */
+  /** @param parts Identity, clock, and functions that receive runs, refusals and the crash. */
   constructor(parts: RecordingServerParts) {
     this.#parts = parts;
   }
 
+  /** Id of the server. */
   get id(): string {
     return this.#parts.id;
   }
 
+  /** Service that the server belongs to. */
   get service(): string {
     return this.#parts.service;
   }
@@ -107,12 +111,12 @@
   /**
    * Listens on loopback.
    *
-   * @param port Port; 0 takes a free one.
-   * @returns The port.
+   * @param port Port; 0 picks a free one. Default: 0.
+   * @returns Port that the server listens on.
    */
   async open(port = 0): Promise<number> {
     const server = createServer((request, response) => {
-      // A caller that leaves ends its call here; the runs are recorded.
+      // The caller disconnected; the run is already recorded.
       this.#answer(request, response).catch(() => response.destroy());
     });
     server.on("connection", (socket) => {
@@ -125,7 +129,7 @@
     return (server.address() as AddressInfo).port;
   }
 
-  /** Ends at once, as a crash does. */
+  /** Stops listening and resets all connections, as a crash does. */
   crash(): void {
     this.#server?.close();
     this.#sockets.forEach((socket) => socket.resetAndDestroy());
@@ -165,14 +169,14 @@
       team: teams.length === 1 ? teams[0] : undefined,
       hasKey: request.headers.authorization !== undefined,
     });
-    await waitFor(systemClock, WORK_MS);
+    await waitFor(systemClock, WORK_DURATION_MS);
     if (isEnding) {
       this.crash();
       this.#parts.onEnded();
       return;
     }
     if (this.trouble === "hang") return;
-    const head = {
+    const headers = {
       [CALL_ID_HEADER]: callId,
       [SIGNATURE_HEADER]: "signed",
       ...(this.saysItLeaves ? { [LEAVING_HEADER]: "1" } : {}),
@@ -181,11 +185,11 @@
         : { [LIMIT_HEADER]: String(this.limitPerSecond) }),
     };
     if (this.trouble === "fail") {
-      response.writeHead(500, head);
+      response.writeHead(500, headers);
       response.end("failed");
     } else if (request.url?.startsWith("/stream")) {
-      await this.#stream(response, head, callId, resumedAfter ?? 0);
-    } else this.#sendBody(response, head, callId);
+      await this.#sendStream(response, headers, callId, resumedAfter ?? 0);
+    } else this.#sendBody(response, headers, callId);
   }
 
   #refuse(response: ServerResponse, callId: string): void {
@@ -194,19 +198,19 @@
     response.writeHead(503, {
       [CALL_ID_HEADER]: callId,
       [NOT_EXECUTED_HEADER]: "1",
-      "retry-after": String(REST_S),
+      "retry-after": String(COOLDOWN_S),
     });
     response.end();
   }
 
   #sendBody(
     response: ServerResponse,
-    head: Record<string, string>,
+    headers: Record<string, string>,
     callId: string,
   ): void {
     const body = createRecordedBody(callId, this.#parts.service);
     response.writeHead(200, {
-      ...head,
+      ...headers,
       "content-length": String(Buffer.byteLength(body)),
     });
     if (this.trouble !== "break-off") {
@@ -217,14 +221,17 @@
     response.destroy();
   }
 
-  async #stream(
+  async #sendStream(
     response: ServerResponse,
-    head: Record<string, string>,
+    headers: Record<string, string>,
     callId: string,
-    after: number,
+    afterEvent: number,
   ): Promise<void> {
-    response.writeHead(200, { ...head, "content-type": "text/event-stream" });
-    for (let event = after + 1; event <= STREAM_EVENTS; event++) {
+    response.writeHead(200, {
+      ...headers,
+      "content-type": "text/event-stream",
+    });
+    for (let event = afterEvent + 1; event <= STREAM_EVENTS; event++) {
       if (response.destroyed || this.trouble === "hang") return;
       if (this.trouble === "break-off" && event > STREAM_EVENTS / 2) {
         response.write(`id: ${event}\nda`);
