--- a/soak/apply_fault.ts
+++ b/soak/apply_fault.ts
@@ -1,35 +1,42 @@
 import { type Clock, type Random, waitFor } from "../clock/mod.ts";
-import { gatherCrowd } from "./crowd.ts";
-import { sendEndingCalls } from "./ending_calls.ts";
+import { runCrowd } from "./crowd.ts";
+import { sendCrashingCalls } from "./ending_calls.ts";
 import { type Fault, formatFault, type PlannedFault } from "./plan.ts";
 import type {
-  SeenCall,
-  SeenDeparture,
-  SeenLeft,
-  SeenPause,
-  SeenStop,
-  SeenWord,
+  AbandonedCall,
+  Departure,
+  InstancePause,
+  InstanceStop,
+  ObservedCall,
+  ServerAdvertisement,
 } from "./observation.ts";
 import type { ServerSlot, SoakFleet, SoakInstance } from "./soak_fleet.ts";
 
-/** What faults are applied to, and who hears of their effects. */
+/** Constructor arguments of {@linkcode FaultRunner}. */
 export interface FaultParts {
   readonly fleet: SoakFleet;
   readonly clock: Clock;
-  /** Source of the ids of crowds' calls. */
+  /** Source of call ids, and of the choice of instances that get crashing calls. */
   readonly random: Random;
+  /** Called with a one-line description of each fault that is applied. */
   readonly print: (line: string) => void;
 }
 
-/** Heartbeats of a server after which the platform drops its entry, in milliseconds. */
-const LAPSE_MS = 3_000;
-/** Time after which an instance that was away or stood still is held to all promises, in milliseconds. */
-const STEADY_AFTER_MS = 5_000;
-/** Answer time of a slow store, in milliseconds. */
+/**
+ * Time without heartbeats of a server after which the platform removes its entry, in
+ * milliseconds.
+ */
+const ENTRY_EXPIRY_MS = 3_000;
+/**
+ * Time after which an instance that was down or stalled has to keep all promises, in
+ * milliseconds.
+ */
+const UNDISTURBED_AFTER_MS = 5_000;
+/** Latency of a slow store, in milliseconds. */
 const SLOW_STORE_MS = 300;
-/** How long the store is away before it comes back from a copy, in milliseconds. */
-const RESTORE_AWAY_MS = 800;
-/** Calls a second that a server with need takes: fewer than its callers ask for. */
+/** How long the store is down before it is restored from a backup, in milliseconds. */
+const RESTORE_DOWNTIME_MS = 800;
+/** Calls per second that a server with a limit advertises: fewer than its callers send. */
 const LIMIT_PER_SECOND = 2;
 
 interface Span {
@@ -37,69 +44,75 @@
   readonly toMs: number;
 }
 
-/** Applies planned faults, undoes them, and keeps what the checks need to know. */
+/** Applies and undoes planned faults, and records what the checks need to know of them. */
 export class FaultRunner {
-  readonly serverDepartures: SeenDeparture[] = [];
-  readonly instanceDepartures: SeenDeparture[] = [];
-  readonly left: SeenLeft[] = [];
-  /** Calls under which servers ended. */
-  readonly endingCalls: SeenCall[] = [];
-  /** Spans in which some instance could not know or do what the bounds ask. */
-  readonly disturbedMs: Span[] = [];
-  /** What servers said of themselves. */
-  readonly words: SeenWord[] = [];
-  /** When each instance stood still or was away. */
-  readonly pauses: SeenPause[] = [];
+  /** When servers drained or their entries were overwritten. */
+  readonly serverDepartures: Departure[] = [];
+  /** When instances were down. */
+  readonly instanceDepartures: Departure[] = [];
+  /** Calls of crowds. */
+  readonly abandonedCalls: AbandonedCall[] = [];
+  /** Calls that crash the server that runs them. */
+  readonly crashingCalls: ObservedCall[] = [];
+  /** Spans in which a fault may keep some instance from meeting the bounds of the checks. */
+  readonly disturbedSpans: Span[] = [];
+  /** States that servers advertised in their answers. */
+  readonly advertisements: ServerAdvertisement[] = [];
+  /** When each instance was stalled or down. */
+  readonly pauses: InstancePause[] = [];
   readonly #stops: (Span & { readonly instance: string })[] = [];
   readonly #spans: (Span & { readonly planned: PlannedFault })[] = [];
   readonly #parts: FaultParts;
-  /** Parts that a fault has hold of. */
+  /** Targets that an active fault disturbs. */
   readonly #busy = new Set<unknown>();
 
-  /** @param parts Fleet and clock. */
+  /** @param parts Fleet, clock, source of random numbers and printer. */
   constructor(parts: FaultParts) {
     this.#parts = parts;
   }
 
-  /** Returns the planned stops, calm where nothing else was disturbed meanwhile. */
-  listStops(): readonly SeenStop[] {
+  /** Returns the graceful shutdowns, and whether each of them was undisturbed by other faults. */
+  listStops(): readonly InstanceStop[] {
     return this.#stops.map(({ fromMs, instance, toMs }) => ({
       instance,
       atMs: fromMs,
-      isCalm: this.#listSpans().every((span) =>
-        span.fromMs === fromMs || span.toMs < fromMs - LAPSE_MS ||
+      isUndisturbed: this.#listSpans().every((span) =>
+        span.fromMs === fromMs || span.toMs < fromMs - ENTRY_EXPIRY_MS ||
         span.fromMs > toMs
       ),
     }));
   }
 
-  /** Faults, and the ends of servers in place of the calls that they ended of. */
+  /** Returns the spans of faults; for crashing calls, the crashes of servers instead. */
   #listSpans(): readonly Span[] {
     const faults = this.#spans.filter(({ planned }) =>
       planned.fault.kind !== "ending-call"
     );
-    const ends = this.#parts.fleet.serverEndsMs.map((atMs) => ({
+    const ends = this.#parts.fleet.serverCrashesMs.map((atMs) => ({
       fromMs: atMs,
       toMs: atMs,
     }));
     return [...faults, ...ends];
   }
 
-  /** Applies a fault now and resolves when it is undone. */
+  /**
+   * Applies a fault now, unless its targets are disturbed already, and resolves when it is
+   * undone.
+   */
   async run(planned: PlannedFault): Promise<void> {
     const { clock, print } = this.#parts;
-    const parts = this.#findParts(planned.fault);
-    // What a fault has hold of is left alone until it is undone.
-    if (parts.some((part) => this.#busy.has(part))) return;
-    parts.forEach((part) => this.#busy.add(part));
+    const targets = this.#findTargets(planned.fault);
+    // A target gets no second fault until the first one is undone.
+    if (targets.some((target) => this.#busy.has(target))) return;
+    targets.forEach((target) => this.#busy.add(target));
     print(formatFault(planned));
     const fromMs = clock.nowMs();
-    await this.#apply(planned.fault, planned.forMs);
+    await this.#apply(planned.fault, planned.durationMs);
     this.#spans.push({ planned, fromMs, toMs: clock.nowMs() });
-    parts.forEach((part) => this.#busy.delete(part));
+    targets.forEach((target) => this.#busy.delete(target));
   }
 
-  #findParts(fault: Fault): readonly unknown[] {
+  #findTargets(fault: Fault): readonly unknown[] {
     const { homeInstances, instances, slots, store } = this.#parts.fleet;
     switch (fault.kind) {
       case "instance":
@@ -126,36 +139,36 @@
     }
   }
 
-  #apply(fault: Fault, forMs: number): Promise<void> {
+  #apply(fault: Fault, durationMs: number): Promise<void> {
     const { instances, slots } = this.#parts.fleet;
     switch (fault.kind) {
       case "instance":
         return this.#disturbInstance(
           instances[fault.index]!,
           fault.what,
-          forMs,
+          durationMs,
         );
       case "crowd":
-        return this.#sendCrowd(instances[fault.index]!, forMs);
+        return this.#sendCrowd(instances[fault.index]!, durationMs);
       case "homes":
-        return this.#stopHomes(forMs);
+        return this.#stopHomes(durationMs);
       case "ending-call":
-        return this.#sendEndingCalls(forMs);
+        return this.#sendCrashingCalls(durationMs);
       case "link":
-        return this.#disturbLink(fault, forMs);
+        return this.#disturbLink(fault, durationMs);
       case "server":
-        return this.#disturbServer(slots[fault.index]!, fault.what, forMs);
+        return this.#disturbServer(slots[fault.index]!, fault.what, durationMs);
       case "store":
-        return this.#disturbStore(fault.what, forMs);
+        return this.#disturbStore(fault.what, durationMs);
       case "operator":
-        return this.#operate(fault.what, forMs);
+        return this.#applyOperatorChange(fault.what, durationMs);
     }
   }
 
   async #disturbInstance(
     { process }: SoakInstance,
     what: Extract<Fault, { kind: "instance" }>["what"],
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     switch (what) {
       case "reload":
@@ -164,14 +177,14 @@
       case "pause":
         return await this.#pause(process, async () => {
           process.signal("SIGSTOP");
-          await this.#wait(forMs);
+          await this.#wait(durationMs);
           process.signal("SIGCONT");
         });
       case "kill":
         return await this.#pause(process, async () => {
           process.signal("SIGKILL");
           await process.awaitEnd();
-          await this.#restart(process, forMs);
+          await this.#restart(process, durationMs);
         });
       case "stop": {
         const fromMs = this.#parts.clock.nowMs();
@@ -179,49 +192,52 @@
         await process.awaitEnd();
         const toMs = this.#parts.clock.nowMs();
         this.#stops.push({ instance: process.name, fromMs, toMs });
-        await this.#restart(process, forMs);
-        this.#notePause(process, fromMs);
+        await this.#restart(process, durationMs);
+        this.#recordPause(process, fromMs);
       }
     }
   }
 
-  async #stopHomes(forMs: number): Promise<void> {
+  async #stopHomes(durationMs: number): Promise<void> {
     await this.#disturb(async () => {
       await Promise.all(
         this.#parts.fleet.homeInstances.map((instance) =>
-          this.#disturbInstance(instance, "stop", forMs)
+          this.#disturbInstance(instance, "stop", durationMs)
         ),
       );
     });
   }
 
-  async #sendCrowd(instance: SoakInstance, forMs: number): Promise<void> {
+  async #sendCrowd(instance: SoakInstance, durationMs: number): Promise<void> {
     const { clock, fleet, random } = this.#parts;
     const { process } = instance;
     await this.#pause(process, async () => {
       process.signal("SIGSTOP");
-      const left = await gatherCrowd(fleet.toCalled(instance), {
-        clock,
-        random,
-        stayMs: forMs / 2,
-      });
-      this.left.push(...left);
-      await this.#wait(forMs / 2);
+      const abandonedCalls = await runCrowd(
+        fleet.toCalledInstance(instance),
+        {
+          clock,
+          random,
+          stayMs: durationMs / 2,
+        },
+      );
+      this.abandonedCalls.push(...abandonedCalls);
+      await this.#wait(durationMs / 2);
       process.signal("SIGCONT");
     });
   }
 
-  #sendEndingCalls(forMs: number): Promise<void> {
-    return sendEndingCalls({
+  #sendCrashingCalls(durationMs: number): Promise<void> {
+    return sendCrashingCalls({
       ...this.#parts,
-      listSteady: () => this.#listSteady(),
-      record: (call) => this.endingCalls.push(call),
-    }, forMs);
+      listUndisturbed: () => this.#listUndisturbed(),
+      record: (call) => this.crashingCalls.push(call),
+    }, durationMs);
   }
 
-  #listSteady(): readonly SoakInstance[] {
+  #listUndisturbed(): readonly SoakInstance[] {
     const { clock, fleet: { instances } } = this.#parts;
-    const sinceMs = clock.nowMs() - STEADY_AFTER_MS;
+    const sinceMs = clock.nowMs() - UNDISTURBED_AFTER_MS;
     return instances.filter((instance) =>
       !this.#busy.has(instance) &&
       !this.pauses.some(({ instance: name, toMs }) =>
@@ -243,7 +259,7 @@
 
   async #disturbLink(
     { index, mode, to }: Extract<Fault, { kind: "link" }>,
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     const { instances, slots } = this.#parts.fleet;
     const link = to === "store"
@@ -251,7 +267,7 @@
       : slots[index]!.link;
     const disturb = async () => {
       link.setMode(mode);
-      await this.#wait(forMs);
+      await this.#wait(durationMs);
       link.setMode("pass");
     };
     if (to === "store") await this.#disturb(disturb);
@@ -261,7 +277,7 @@
   async #disturbServer(
     slot: ServerSlot,
     what: Extract<Fault, { kind: "server" }>["what"],
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     const { clock, fleet } = this.#parts;
     const { server } = slot;
@@ -271,13 +287,13 @@
         await fleet.register(slot, true);
         const atMs = clock.nowMs();
         this.serverDepartures.push({ id: server.id, atMs, untilMs: Infinity });
-        await this.#wait(forMs);
-        // It serves on for a while, beside the one that takes its place.
+        await this.#wait(durationMs);
+        // The drained server continues to serve for a while, beside its replacement.
         return await fleet.replaceServer(slot);
       }
       case "crash":
         server.crash();
-        await this.#wait(LAPSE_MS);
+        await this.#wait(ENTRY_EXPIRY_MS);
         await fleet.operator.unregister(server.id);
         return await fleet.replaceServer(slot);
       case "restart":
@@ -285,18 +301,18 @@
       case "overwrite": {
         await fleet.operator.overwrite(server.id);
         const atMs = clock.nowMs();
-        await this.#wait(forMs);
+        await this.#wait(durationMs);
         const untilMs = clock.nowMs();
         this.serverDepartures.push({ id: server.id, atMs, untilMs });
-        // Whoever has its place by now registers itself.
+        // A server that replaced this one in the meantime has registered itself.
         if (slot.server === server) await fleet.register(slot);
         return;
       }
       case "say-leaving": {
         server.saysItLeaves = true;
         const fromMs = clock.nowMs();
-        await this.#wait(forMs);
-        this.words.push({
+        await this.#wait(durationMs);
+        this.advertisements.push({
           server: server.id,
           kind: "leaving",
           fromMs,
@@ -307,18 +323,23 @@
       case "rest": {
         const fromMs = clock.nowMs();
         server.trouble = what;
-        await this.#wait(forMs);
+        await this.#wait(durationMs);
         server.trouble = "none";
         const toMs = clock.nowMs();
-        this.words.push({ server: server.id, kind: "rest", fromMs, toMs });
+        this.advertisements.push({
+          server: server.id,
+          kind: "rest",
+          fromMs,
+          toMs,
+        });
         return;
       }
       case "limit": {
         const fromMs = clock.nowMs();
         server.limitPerSecond = LIMIT_PER_SECOND;
-        await this.#wait(forMs);
+        await this.#wait(durationMs);
         server.limitPerSecond = undefined;
-        this.words.push({
+        this.advertisements.push({
           server: server.id,
           kind: "limit",
           perSecond: LIMIT_PER_SECOND,
@@ -331,48 +352,51 @@
       case "fail":
       case "break-off":
         server.trouble = what;
-        await this.#wait(forMs);
+        await this.#wait(durationMs);
         server.trouble = "none";
     }
   }
 
   async #disturbStore(
     what: Extract<Fault, { kind: "store" }>["what"],
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     const { store } = this.#parts.fleet;
     switch (what) {
       case "restore":
-        return await this.#restoreStore(forMs);
+        return await this.#restoreStore(durationMs);
       case "forget":
         store.compact();
         return;
       case "down":
         await this.#disturb(async () => {
           store.setDown(true);
-          await this.#wait(forMs);
+          await this.#wait(durationMs);
           store.setDown(false);
         });
         return;
       case "slow":
         await this.#disturb(async () => {
           store.faults.latencyMs = SLOW_STORE_MS;
-          await this.#wait(forMs);
+          await this.#wait(durationMs);
           store.faults.latencyMs = 0;
         });
     }
   }
 
-  /** A configuration is lost, and the next one comes before what was lost is written again. */
-  async #restoreStore(forMs: number): Promise<void> {
+  /**
+   * Restores a backup that lacks a configuration, and writes the next one before the lost data
+   * is written again.
+   */
+  async #restoreStore(durationMs: number): Promise<void> {
     const { fleet } = this.#parts;
     const { operator, store } = fleet;
     const backup = store.createBackup();
     await fleet.configure();
-    await this.#wait(forMs - RESTORE_AWAY_MS);
+    await this.#wait(durationMs - RESTORE_DOWNTIME_MS);
     await this.#disturb(async () => {
       store.setDown(true);
-      await this.#wait(RESTORE_AWAY_MS);
+      await this.#wait(RESTORE_DOWNTIME_MS);
       store.restoreBackup(backup);
       store.setDown(false);
     });
@@ -380,22 +404,22 @@
     await operator.writeAgain();
   }
 
-  async #operate(
+  async #applyOperatorChange(
     what: Extract<Fault, { kind: "operator" }>["what"],
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     const { fleet } = this.#parts;
     if (what === "configure") return await fleet.configure();
     const { region } = fleet.instances[0]!;
     await fleet.operator.setEvacuated(region, true);
-    await this.#wait(forMs);
+    await this.#wait(durationMs);
     await fleet.operator.setEvacuated(region, false);
   }
 
   async #disturb(apply: () => Promise<void>): Promise<void> {
     const fromMs = this.#parts.clock.nowMs();
     await apply();
-    this.disturbedMs.push({ fromMs, toMs: this.#parts.clock.nowMs() });
+    this.disturbedSpans.push({ fromMs, toMs: this.#parts.clock.nowMs() });
   }
 
   async #pause(
@@ -404,10 +428,10 @@
   ): Promise<void> {
     const fromMs = this.#parts.clock.nowMs();
     await this.#disturb(apply);
-    this.#notePause(process, fromMs);
+    this.#recordPause(process, fromMs);
   }
 
-  #notePause({ name }: SoakInstance["process"], fromMs: number): void {
+  #recordPause({ name }: SoakInstance["process"], fromMs: number): void {
     const toMs = this.#parts.clock.nowMs();
     this.pauses.push({ instance: name, fromMs, toMs });
   }
--- a/soak/caller.ts
+++ b/soak/caller.ts
@@ -7,64 +7,65 @@
   SIGNATURE_HEADER,
   TEAM_HEADER,
 } from "../standin/platform_headers.ts";
-import type { CallEnd, CallKind, SeenCall } from "./observation.ts";
+import type { CallKind, CallOutcome, ObservedCall } from "./observation.ts";
 
 /** Host of all routes that callers use. */
 export const SOAK_HOST = "soak.example";
-/** Host of which some calls are bound to regions and others not. */
+/** Host of which some routes are bound to home regions and others are not. */
 export const BOUND_HOST = "bound.soak.example";
-/** Team of nearly all calls, and its key. */
+/** Team of nearly all calls, and its API key. */
 export const STEADY_TEAM = { name: "steady", key: "key-steady" };
-/** Team whose key changes with each configuration. */
+/** Team whose API key changes with each configuration version. */
 export const ROTATING_TEAM = "rotating";
-/** Key that nobody holds. */
-const STRANGE_KEY = "key-strange";
+/** API key that no team holds. */
+const UNKNOWN_KEY = "key-strange";
 
-/** Returns the key of the rotating team in a configuration. */
+/** Returns the API key of the rotating team in a configuration version. */
 export function toRotatingKey(version: number): string {
   return `key-${version}`;
 }
 
-/** Time that a caller waits for an answer, in milliseconds. */
-const PATIENCE_MS = 4_000;
+/** Time that a caller allows for a call, in milliseconds. */
+const CALL_TIMEOUT_MS = 4_000;
 
-/** An instance as callers know it. */
+/** Instance that callers call. */
 export interface CalledInstance {
   readonly name: string;
   readonly host: string;
   readonly port: number;
-  /** How often its process was started. */
+  /** Number of starts of its process. */
   readonly starts: number;
-  /** Version of the last configuration that the operator has put in the store. */
+  /** Version of the last configuration that the operator wrote to the store. */
   readonly version: number;
 }
 
-/** What a caller is created from. */
+/** Constructor arguments of {@linkcode SoakCaller}. */
 export interface SoakCallerParts {
   readonly random: Random;
   readonly nowMs: () => number;
-  readonly record: (call: SeenCall) => void;
+  /** Called with each completed call. */
+  readonly record: (call: ObservedCall) => void;
 }
 
-/** Calls instances over connections that it keeps, one call at a time. */
+/** Sends one call at a time to instances, over persistent connections. */
 export class SoakCaller {
   readonly #parts: SoakCallerParts;
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 1 });
 
-  /** @param parts Source of ids and who hears of each call. */
+  /** @param parts Source of call ids, clock and recorder of calls. */
   constructor(parts: SoakCallerParts) {
     this.#parts = parts;
   }
 
-  /** Makes one call and records how it ended. */
-  async call(instance: CalledInstance, kind: CallKind): Promise<SeenCall> {
+  /** Sends one call and records its outcome. */
+  async call(instance: CalledInstance, kind: CallKind): Promise<ObservedCall> {
     const { nowMs, random, record } = this.#parts;
     const callId = createToken(random);
     const { name, starts } = instance;
     const key = toKey(kind, instance);
     const sentMs = nowMs();
-    const end = await this.#ask(instance, { callId, kind, key });
-    const seen: SeenCall = {
+    const end = await this.#send(instance, { callId, kind, key });
+    const observed: ObservedCall = {
       callId,
       kind,
       instance: name,
@@ -74,8 +75,8 @@
       endedMs: nowMs(),
       end,
     };
-    record(seen);
-    return seen;
+    record(observed);
+    return observed;
   }
 
   /** Closes the connections. */
@@ -83,10 +84,10 @@
     this.#agent.destroy();
   }
 
-  #ask(
+  #send(
     { host, port }: CalledInstance,
-    { callId, key, kind }: Pick<SeenCall, "callId" | "key" | "kind">,
-  ): Promise<CallEnd> {
+    { callId, key, kind }: Pick<ObservedCall, "callId" | "key" | "kind">,
+  ): Promise<CallOutcome> {
     return new Promise((resolve) => {
       let isConnected = false;
       const sent = request({
@@ -98,12 +99,12 @@
         headers: {
           host: SOAK_HOST,
           [CALL_ID_HEADER]: callId,
-          [REMAINING_HEADER]: String(PATIENCE_MS),
+          [REMAINING_HEADER]: String(CALL_TIMEOUT_MS),
           authorization: `Bearer ${key}`,
-          // Not the caller's to say.
+          // Callers must not name their own team: the gateway has to replace this header.
           [TEAM_HEADER]: "forged",
         },
-        timeout: PATIENCE_MS + 1_000,
+        timeout: CALL_TIMEOUT_MS + 1_000,
       });
       sent.on("socket", (socket) => {
         isConnected = !socket.connecting;
@@ -128,19 +129,25 @@
   }
 }
 
-/** Keys of the rotating team are shown for one version longer than they hold. */
+/**
+ * Returns the API key of a call. A call of the rotating team presents the key of the version
+ * before, which is revoked.
+ */
 function toKey(kind: CallKind, { version }: CalledInstance): string {
   switch (kind) {
     case "rotating":
       return toRotatingKey(Math.max(1, version - 1));
     case "stranger":
-      return STRANGE_KEY;
+      return UNKNOWN_KEY;
     default:
       return STEADY_TEAM.key;
   }
 }
 
-/** A call that is to end servers is repeated like any other that may be. */
+/**
+ * Returns the path of a call. A call that crashes servers takes an idempotent route, so that it
+ * is retried as other calls are.
+ */
 function toPath(kind: CallKind): string {
   switch (kind) {
     case "ending":
@@ -167,7 +174,7 @@
   }
 }
 
-async function readAnswer(answer: IncomingMessage): Promise<CallEnd> {
+async function readAnswer(answer: IncomingMessage): Promise<CallOutcome> {
   let body = "";
   try {
     for await (const chunk of answer) body += String(chunk);
--- a/soak/check_promises.ts
+++ b/soak/check_promises.ts
@@ -3,7 +3,11 @@
   STREAM_EVENTS,
 } from "../standin/recording_server.ts";
 import { ROTATING_TEAM, STEADY_TEAM } from "./caller.ts";
-import { KEY_KINDS, type Observation, type SeenCall } from "./observation.ts";
+import {
+  KEY_KINDS,
+  type Observation,
+  type ObservedCall,
+} from "./observation.ts";
 
 /** A promise that was broken. */
 export interface Violation {
@@ -29,79 +33,101 @@
   | "service after the faults"
   | "no growth";
 
-/** Statuses that say that a call did not run. */
+/** Statuses that promise that the call did not run. */
 const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /**
- * Time after which a server that left gets nothing new, in milliseconds: the
- * users' 3 s, and as much again for a machine with more to do.
+ * Time after which a server that drains or lost its entry must get no new calls, in
+ * milliseconds: the users' requirement of 3 s, doubled for a machine that does other work too.
+ */
+const DEPARTURE_DELAY_MS = 6_000;
+/**
+ * Time after which the directory must not list a dead instance, in milliseconds: the users'
+ * requirement of 8 s, and 4 s more.
+ */
+const DIRECTORY_DELAY_MS = 12_000;
+/**
+ * Time after which the call of a disconnected caller must not start to run, in milliseconds:
+ * the users' requirement.
+ */
+const ABANDONED_DELAY_MS = 500;
+/** Servers that one call may crash before each instance has to quarantine it. */
+const CRASHED_SERVERS = 3;
+/**
+ * Time after which each instance has to quarantine the call, in milliseconds: the users'
+ * requirement.
+ */
+const QUARANTINE_DELAY_MS = 5_000;
+/** Runs of the call that are allowed after that time: the users' requirement. */
+const MAX_LATE_RUNS = 3;
+/**
+ * Time after which an instance has to respect what a server advertises, in milliseconds: the
+ * users' requirement.
  */
-const LEFT_AFTER_MS = 6_000;
-/** Time after which the directory forgets an instance, in milliseconds: the users' 8 s, and 4 s more. */
-const FORGOTTEN_AFTER_MS = 12_000;
-/** Time after which a call of a caller that has gone is not begun, in milliseconds: the users' half a second. */
-const GONE_AFTER_MS = 500;
-/** Servers that may end under one call before each instance has to know. */
-const ENDED_SERVERS = 3;
-/** Time after which each instance knows, in milliseconds, and runs that may follow: the users'. */
-const ENDING_KNOWN_MS = 5_000;
-const LATE_RUNS = 3;
-/** Time after which an instance heeds what a server says, in milliseconds: the users'. */
-const WORD_HEARD_MS = 500;
+const ADVERTISEMENT_DELAY_MS = 500;
 /**
- * Calls that a server may get after that from all instances together: some hear its word
- * late, each with at most so many callers at a time.
+ * Calls that a server may get after that time from all instances together. Some instances
+ * learn late what the server advertises, and each of them has a limited number of
+ * concurrent callers.
+ */
+const MAX_LATE_CALLS = 24;
+/**
+ * Window in which the calls of a server with an advertised limit are counted, in milliseconds:
+ * the users' requirement.
  */
-const LATE_CALLS = 24;
-/** Span in which a server that names a limit counts its calls, in milliseconds: the users'. */
 const LIMIT_WINDOW_MS = 4_000;
-/** Factor on what the limit allows in that span, and calls beside it: the users'. */
+/** Factor on the calls that the limit allows in the window: the users' requirement. */
 const LIMIT_OVERSHOOT = 1.5;
+/** Calls that are allowed in the window in addition: the users' requirement. */
 const LIMIT_SLACK_CALLS = 5;
 /**
- * Time after which a key that was taken away runs nothing, in milliseconds: the users'
- * 5 s, and as much again for a store that is away as long as a fault lasts.
+ * Time after which no call with a revoked key may run, in milliseconds: the users'
+ * requirement of 5 s, and as much again for a store that is unavailable during a fault.
  */
-const KEY_GONE_AFTER_MS = 10_000;
-/** Part of the calls after the faults that must be served. */
-const SERVED_PART = 0.95;
-/** What one process may hold: half as much again as was seen in runs with 6 instances. */
-const MOST_MEMORY_MB = 200;
-const MOST_DESCRIPTORS = 1_000;
+const REVOCATION_DELAY_MS = 10_000;
+/** Share of the calls after the faults that must be served. */
+const MIN_SERVED_SHARE = 0.95;
+/** Memory that one process may use, in MB: 1.5 times the usage in runs with 6 instances. */
+const MAX_MEMORY_MB = 200;
+/**
+ * File descriptors that one process may have open: 1.5 times the usage in runs with 6
+ * instances.
+ */
+const MAX_DESCRIPTORS = 1_000;
 
-/** Returns what of the promises was broken in a run. */
-export function checkPromises(seen: Observation): readonly Violation[] {
+/** Returns the promises that were broken in a run. */
+export function checkPromises(observation: Observation): readonly Violation[] {
   return [
-    ...checkAnswers(seen),
-    ...checkAtMostOnce(seen),
-    ...checkNotRun(seen),
-    ...checkDepartures(seen),
-    ...checkVersions(seen),
-    ...checkDirectories(seen),
-    ...checkAstray(seen),
-    ...checkStops(seen),
-    ...checkLeft(seen),
-    ...checkEndingCalls(seen),
-    ...checkWords(seen),
-    ...checkLimits(seen),
-    ...checkKeys(seen),
-    ...checkService(seen),
-    ...checkProcesses(seen),
+    ...checkAnswers(observation),
+    ...checkAtMostOnce(observation),
+    ...checkNotRun(observation),
+    ...checkDepartures(observation),
+    ...checkVersions(observation),
+    ...checkDirectories(observation),
+    ...checkBoundCalls(observation),
+    ...checkStops(observation),
+    ...checkAbandonedCalls(observation),
+    ...checkQuarantine(observation),
+    ...checkAdvertisements(observation),
+    ...checkLimits(observation),
+    ...checkKeys(observation),
+    ...checkService(observation),
+    ...checkProcesses(observation),
   ];
 }
 
-function describe(call: SeenCall): string {
+function formatCall(call: ObservedCall): string {
   const end = call.end.kind === "answered" ? call.end.status : call.end.kind;
   return `${call.kind} call ${call.callId} at ${call.instance}: ${end}`;
 }
 
 function checkAnswers({ calls }: Observation): readonly Violation[] {
-  return calls.filter((call) => !isSound(call)).map((call) => ({
+  return calls.filter((call) => !isIntact(call)).map((call) => ({
     promise: "whole answers",
-    detail: describe(call),
+    detail: formatCall(call),
   }));
 }
 
-function isSound({ callId, end, kind }: SeenCall): boolean {
+function isIntact({ callId, end, kind }: ObservedCall): boolean {
   if (end.kind === "broken") return kind !== "stream" || isPrefix(end.body);
   if (end.kind !== "answered" || end.status !== 200) return true;
   if (!end.isSigned) return false;
@@ -110,7 +136,7 @@
     (JSON.parse(end.body) as { readonly service: string }).service;
   return end.body === createRecordedBody(callId, service);
 
-  /** What came of a stream that broke off is its beginning, in order. */
+  /** Returns whether a body is the beginning of the call's stream, with all events in order. */
   function isPrefix(body: string): boolean {
     return createStreamBody(callId).startsWith(body);
   }
@@ -131,44 +157,49 @@
   return counts;
 }
 
-function checkAtMostOnce(seen: Observation): readonly Violation[] {
-  const counts = countRuns(seen);
-  return seen.calls.filter(({ callId, kind }) =>
+function checkAtMostOnce(observation: Observation): readonly Violation[] {
+  const counts = countRuns(observation);
+  return observation.calls.filter(({ callId, kind }) =>
     kind === "non-idempotent" && (counts.get(callId) ?? 0) > 1
   ).map((call) => ({
     promise: "at most once",
-    detail: `${describe(call)}, ran ${counts.get(call.callId)} times`,
+    detail: `${formatCall(call)}, ran ${counts.get(call.callId)} times`,
   }));
 }
 
-function checkNotRun(seen: Observation): readonly Violation[] {
-  const counts = countRuns(seen);
-  return seen.calls.filter(({ callId, end, kind }) =>
+function checkNotRun(observation: Observation): readonly Violation[] {
+  const counts = countRuns(observation);
+  return observation.calls.filter(({ callId, end, kind }) =>
     kind === "non-idempotent" && end.kind === "answered" &&
     NOT_RUN.has(end.status) && counts.has(callId)
-  ).map((call) => ({ promise: "not run is true", detail: describe(call) }));
+  ).map((call) => ({ promise: "not run is true", detail: formatCall(call) }));
 }
 
 function checkDepartures(
-  { disturbedMs, runs, serverDepartures }: Observation,
+  { disturbedSpans, runs, serverDepartures }: Observation,
 ): readonly Violation[] {
   return serverDepartures.flatMap(({ id, atMs, untilMs }) => {
-    const dueMs = atMs + LEFT_AFTER_MS;
-    // Whoever was cut off or stood still meanwhile could not know.
-    const isExcused = disturbedMs.some(({ fromMs, toMs }) =>
-      fromMs < dueMs && toMs > atMs - LEFT_AFTER_MS
+    const dueMs = atMs + DEPARTURE_DELAY_MS;
+    // An instance that was cut off or stalled in this time could not learn of the departure.
+    const isExcused = disturbedSpans.some(({ fromMs, toMs }) =>
+      fromMs < dueMs && toMs > atMs - DEPARTURE_DELAY_MS
     );
     if (isExcused) return [];
     return runs.filter((run) =>
       run.server === id && run.atMs > dueMs && run.atMs < untilMs
     ).map((run): Violation => ({
       promise: "nothing new at what left",
-      detail: `${id} ran ${run.callId} ${run.atMs - atMs} ms after it left`,
+      detail: `${id} ran ${run.callId} ${
+        run.atMs - atMs
+      } ms after its departure`,
     }));
   });
 }
 
-/** Each start of an instance is asked one call at a time: versions only grow. */
+/**
+ * Each start of an instance gets these calls one after the other, so that versions must never
+ * decrease.
+ */
 function checkVersions({ calls }: Observation): readonly Violation[] {
   const highest = new Map<string, number>();
   return calls.filter(({ kind }) => kind === "version").flatMap((call) => {
@@ -187,8 +218,11 @@
   });
 }
 
-/** The service that answered is named after the version that leads to it. */
-function readVersion({ end }: SeenCall): number | undefined {
+/**
+ * Returns the configuration version of a call, which is part of the name of the service that
+ * answered.
+ */
+function readVersion({ end }: ObservedCall): number | undefined {
   if (end.kind !== "answered" || end.status !== 200) return undefined;
   const { service } = JSON.parse(end.body) as { readonly service: string };
   return Number(service.split("-")[1]);
@@ -199,101 +233,117 @@
 ): readonly Violation[] {
   return instanceDepartures.flatMap(({ id, atMs, untilMs }) =>
     directories.filter((directory) =>
-      directory.atMs > atMs + FORGOTTEN_AFTER_MS &&
+      directory.atMs > atMs + DIRECTORY_DELAY_MS &&
       directory.atMs < untilMs && directory.hosts.includes(id)
     ).map((directory): Violation => ({
       promise: "directory names no dead instance",
-      detail: `${id}, ${directory.atMs - atMs} ms after its end`,
+      detail: `${id} is still listed ${
+        directory.atMs - atMs
+      } ms after its process ended`,
     }))
   );
 }
 
-/** Bound calls go to their homes or stay in their caller's region, whatever is wrong. */
-function checkAstray({ directories }: Observation): readonly Violation[] {
-  return directories.filter(({ astray }) => astray.length > 0)
-    .map(({ astray }): Violation => ({
+/**
+ * Calls bound to home regions go to these or stay in the caller's region, whatever fault is
+ * active.
+ */
+function checkBoundCalls({ directories }: Observation): readonly Violation[] {
+  return directories.filter(({ forbiddenHosts }) => forbiddenHosts.length > 0)
+    .map(({ forbiddenHosts }): Violation => ({
       promise: "directory leads no call astray",
-      detail: `to ${astray.join(" ")}`,
+      detail: `answer lists forbidden hosts: ${forbiddenHosts.join(" ")}`,
     }));
 }
 
 function checkStops({ calls, stops }: Observation): readonly Violation[] {
-  return stops.filter(({ isCalm }) => isCalm).flatMap(({ atMs, instance }) =>
+  return stops.filter(({ isUndisturbed }) => isUndisturbed).flatMap((
+    { atMs, instance },
+  ) =>
     calls.filter((call) =>
       call.instance === instance && call.end.kind === "broken" &&
       call.sentMs <= atMs && call.endedMs >= atMs
     ).map((call): Violation => ({
       promise: "a stop cuts nothing",
-      detail: describe(call),
+      detail: formatCall(call),
     }))
   );
 }
 
-function checkLeft({ left, runs }: Observation): readonly Violation[] {
-  const leftMs = new Map(left.map((each) => [each.callId, each.leftMs]));
+function checkAbandonedCalls(
+  { abandonedCalls, runs }: Observation,
+): readonly Violation[] {
+  const abandonedMs = new Map(
+    abandonedCalls.map((each) => [each.callId, each.abandonedMs]),
+  );
   return runs.filter(({ atMs, callId }) =>
-    atMs > (leftMs.get(callId) ?? Infinity) + GONE_AFTER_MS
+    atMs > (abandonedMs.get(callId) ?? Infinity) + ABANDONED_DELAY_MS
   ).map(({ atMs, callId, server }) => ({
     promise: "who has gone is not served",
     detail: `${server} ran ${callId} ${
-      Math.round(atMs - leftMs.get(callId)!)
-    } ms after its caller had left`,
+      Math.round(atMs - abandonedMs.get(callId)!)
+    } ms after its caller had disconnected`,
   }));
 }
 
-/** All calls under which servers end have one content. */
-function checkEndingCalls(
+/** All calls that crash servers have the same content, so that they are quarantined as one. */
+function checkQuarantine(
   { calls, pauses, runs }: Observation,
 ): readonly Violation[] {
-  const ending = runs.filter(({ isEnding }) => isEnding);
-  const ended = [...new Set(ending.map(({ server }) => server))];
-  const last = ending.find(({ server }) => server === ended[ENDED_SERVERS - 1]);
-  if (last === undefined) return [];
-  const takenBy = new Map(
+  const crashingRuns = runs.filter(({ isEnding }) => isEnding);
+  const crashedServers = [...new Set(crashingRuns.map(({ server }) => server))];
+  const thresholdRun = crashingRuns.find(({ server }) =>
+    server === crashedServers[CRASHED_SERVERS - 1]
+  );
+  if (thresholdRun === undefined) return [];
+  const instanceByCall = new Map(
     calls.map(({ callId, instance }) => [callId, instance]),
   );
-  // An instance that has just started has the same time to hear of it.
-  const late = ending.filter(({ atMs, callId }) =>
-    atMs > last.atMs + ENDING_KNOWN_MS &&
+  // An instance that has just started or resumed has the same time to learn of the crashes.
+  const late = crashingRuns.filter(({ atMs, callId }) =>
+    atMs > thresholdRun.atMs + QUARANTINE_DELAY_MS &&
     !pauses.some(({ fromMs, instance, toMs }) =>
-      instance === takenBy.get(callId) && fromMs < atMs &&
-      toMs > atMs - ENDING_KNOWN_MS
+      instance === instanceByCall.get(callId) && fromMs < atMs &&
+      toMs > atMs - QUARANTINE_DELAY_MS
     )
   );
-  return late.length <= LATE_RUNS ? [] : [{
+  return late.length <= MAX_LATE_RUNS ? [] : [{
     promise: "a call that ends servers is kept from them",
-    detail: `${late.length} runs after ${ENDED_SERVERS} servers had ended`,
+    detail: `${late.length} runs after ${CRASHED_SERVERS} servers had crashed`,
   }];
 }
 
-function checkWords(
-  { refusals, runs, words }: Observation,
+function checkAdvertisements(
+  { refusals, runs, advertisements }: Observation,
 ): readonly Violation[] {
-  return words.flatMap(({ fromMs, kind, server, toMs }) => {
+  return advertisements.flatMap(({ fromMs, kind, server, toMs }) => {
     if (kind === "limit") return [];
     const calls = (kind === "rest" ? refusals : runs)
       .filter((call) => call.server === server && call.atMs >= fromMs);
-    const heardMs = (calls[0]?.atMs ?? toMs) + WORD_HEARD_MS;
-    const late = calls.filter(({ atMs }) => atMs > heardMs && atMs < toMs);
-    return late.length <= LATE_CALLS ? [] : [
+    const dueMs = (calls[0]?.atMs ?? toMs) + ADVERTISEMENT_DELAY_MS;
+    const late = calls.filter(({ atMs }) => atMs > dueMs && atMs < toMs);
+    return late.length <= MAX_LATE_CALLS ? [] : [
       {
         promise: "what servers say of themselves is heeded",
-        detail: `${server} got ${late.length} calls after its word (${kind})`,
+        detail:
+          `${server} received ${late.length} calls after it had advertised its state (${kind})`,
       } as const,
     ];
   });
 }
 
-function checkLimits({ runs, words }: Observation): readonly Violation[] {
-  return words.flatMap((word) => {
-    if (word.kind !== "limit") return [];
-    const { fromMs, perSecond, server, toMs } = word;
-    const named = runs.filter((run) =>
+function checkLimits(
+  { runs, advertisements }: Observation,
+): readonly Violation[] {
+  return advertisements.flatMap((advertisement) => {
+    if (advertisement.kind !== "limit") return [];
+    const { fromMs, perSecond, server, toMs } = advertisement;
+    const callTimesMs = runs.filter((run) =>
       run.server === server && run.atMs >= fromMs && run.atMs < toMs
     ).map(({ atMs }) => atMs);
-    const heardMs = (named[0] ?? toMs) + WORD_HEARD_MS;
-    const counted = named.filter((atMs) => atMs > heardMs);
-    const most = Math.max(
+    const dueMs = (callTimesMs[0] ?? toMs) + ADVERTISEMENT_DELAY_MS;
+    const counted = callTimesMs.filter((atMs) => atMs > dueMs);
+    const maxCalls = Math.max(
       0,
       ...counted.map((first) =>
         counted.filter((atMs) =>
@@ -302,56 +352,58 @@
       ),
     );
     const allowed = LIMIT_OVERSHOOT * perSecond * LIMIT_WINDOW_MS / 1_000 +
-      LIMIT_SLACK_CALLS + LATE_CALLS;
-    return most <= allowed ? [] : [
+      LIMIT_SLACK_CALLS + MAX_LATE_CALLS;
+    return maxCalls <= allowed ? [] : [
       {
         promise: "a server gets no more than the limit that it names",
-        detail: `${server} got ${most} calls in 4 s, limit ${perSecond}`,
+        detail:
+          `${server} received ${maxCalls} calls in 4 s, limit ${perSecond} calls/s`,
       } as const,
     ];
   });
 }
 
-function checkKeys(seen: Observation): readonly Violation[] {
-  const calls = new Map(seen.calls.map((call) => [call.callId, call]));
-  return seen.runs.flatMap((run) => {
+function checkKeys(observation: Observation): readonly Violation[] {
+  const calls = new Map(observation.calls.map((call) => [call.callId, call]));
+  return observation.runs.flatMap((run) => {
     const call = calls.get(run.callId);
-    const wrong = run.hasKey
-      ? "got its key"
-      : call && explainWrongRun(seen, call, run);
-    return wrong === undefined ? [] : [
+    const problem = run.hasKey
+      ? "received the API key of the caller"
+      : call && explainWrongRun(observation, call, run);
+    return problem === undefined ? [] : [
       {
         promise: "calls run for the team that holds their key",
-        detail: `${run.server} ${wrong} with ${run.callId}`,
+        detail: `${run.server} ${problem} (call ${run.callId})`,
       } as const,
     ];
   });
 }
 
-/** Returns what is wrong with a run by the key of its call, or `undefined`. */
+/** Returns why a run does not fit the key of its call, or `undefined` if it does. */
 function explainWrongRun(
-  { keyEnds, pauses }: Observation,
-  { instance, key, kind, sentMs }: SeenCall,
+  { revokedKeys, pauses }: Observation,
+  { instance, key, kind, sentMs }: ObservedCall,
   { team }: Observation["runs"][number],
 ): string | undefined {
-  if (kind === "stranger") return "ran a key that nobody held";
+  if (kind === "stranger") return "ran a call with a key that no team held";
   const wanted = kind === "rotating" ? ROTATING_TEAM : STEADY_TEAM.name;
-  if (team !== wanted) return `ran for team ${team}`;
-  const endedMs = keyEnds.find((end) => end.key === key)?.atMs ?? Infinity;
-  const isLate = sentMs > endedMs + KEY_GONE_AFTER_MS;
-  // Whoever stood still, or has just started, had less time to hear of it.
+  if (team !== wanted) return `ran a call for team ${team}`;
+  const revokedMs = revokedKeys.find((revoked) => revoked.key === key)?.atMs ??
+    Infinity;
+  const isLate = sentMs > revokedMs + REVOCATION_DELAY_MS;
+  // An instance that was stalled or has just started had less time to learn of the revocation.
   const isExcused = pauses.some((pause) =>
     pause.instance === instance && pause.fromMs < sentMs &&
-    pause.toMs > sentMs - KEY_GONE_AFTER_MS
+    pause.toMs > sentMs - REVOCATION_DELAY_MS
   );
-  return isLate && !isExcused ? "ran a key that was taken away" : undefined;
+  return isLate && !isExcused ? "ran a call with a revoked key" : undefined;
 }
 
 function checkService(
-  { calls, calmFromMs, lastVersion }: Observation,
+  { calls, recoveredFromMs, lastVersion }: Observation,
 ): readonly Violation[] {
   const late = calls.filter(({ kind, sentMs }) =>
-    sentMs > calmFromMs && !KEY_KINDS.includes(kind)
+    sentMs > recoveredFromMs && !KEY_KINDS.includes(kind)
   );
   const served = late.filter(({ end }) =>
     end.kind === "answered" && end.status === 200
@@ -360,7 +412,7 @@
     call.kind === "version" && (readVersion(call) ?? lastVersion) < lastVersion
   );
   const missing: readonly Violation[] =
-    late.length > 0 && served.length >= SERVED_PART * late.length ? [] : [{
+    late.length > 0 && served.length >= MIN_SERVED_SHARE * late.length ? [] : [{
       promise: "service after the faults",
       detail: `${served.length} of ${late.length} calls served`,
     }];
@@ -375,7 +427,7 @@
 
 function checkProcesses({ processes }: Observation): readonly Violation[] {
   return processes.filter(({ descriptors, memoryMb }) =>
-    memoryMb > MOST_MEMORY_MB || descriptors > MOST_DESCRIPTORS
+    memoryMb > MAX_MEMORY_MB || descriptors > MAX_DESCRIPTORS
   ).map(({ descriptors, instance, memoryMb }) => ({
     promise: "no growth",
     detail: `${instance}: ${memoryMb} MB, ${descriptors} descriptors`,
--- a/soak/crowd.ts
+++ b/soak/crowd.ts
@@ -5,44 +5,47 @@
   REMAINING_HEADER,
 } from "../standin/platform_headers.ts";
 import { type CalledInstance, SOAK_HOST, STEADY_TEAM } from "./caller.ts";
-import type { SeenLeft } from "./observation.ts";
+import type { AbandonedCall } from "./observation.ts";
 
-/** Callers of a crowd: fewer than an instance's queue of connections holds. */
+/** Callers of a crowd: fewer than an instance's queue of pending connections can hold. */
 const CROWD_SIZE = 60;
-/** Time that callers of a crowd say they have, in milliseconds: their calls are still in time when they have gone. */
-const CROWD_PATIENCE_MS = 20_000;
+/**
+ * Remaining time that the calls of a crowd state, in milliseconds: their deadline is later than
+ * the disconnect.
+ */
+const CROWD_TIMEOUT_MS = 20_000;
 
-/** What a crowd is gathered with. */
+/** Options of {@linkcode runCrowd}. */
 export interface CrowdParts {
   readonly clock: Clock;
   readonly random: Random;
-  /** How long its callers stay, in milliseconds. */
+  /** How long the callers stay connected, in milliseconds. */
   readonly stayMs: number;
 }
 
 /**
- * Lets many callers connect to an instance at once, each with a call, and leave
- * again without an answer.
+ * Connects many callers to an instance at once, each of which sends a call and
+ * disconnects without an answer.
  *
- * @param instance Whom they call.
- * @param parts Time, ids and how long they stay.
- * @returns Their calls, and when they had left.
+ * @param instance Instance that is called.
+ * @param parts Clock, source of call ids and time until the disconnect.
+ * @returns The calls, and when their callers disconnected.
  */
-export async function gatherCrowd(
+export async function runCrowd(
   { host, port }: CalledInstance,
   { clock, random, stayMs }: CrowdParts,
-): Promise<readonly SeenLeft[]> {
+): Promise<readonly AbandonedCall[]> {
   const callers = Array.from({ length: CROWD_SIZE }, () => {
     const callId = createToken(random);
     const socket = connect(port, host);
-    // An instance that is gone refuses them; nothing of theirs runs then either.
+    // An instance that is down refuses the connection, so that the call does not run either.
     socket.on("error", () => socket.destroy());
     socket.write(
       [
         "GET /idempotent/x HTTP/1.1",
         `Host: ${SOAK_HOST}`,
         `${CALL_ID_HEADER}: ${callId}`,
-        `${REMAINING_HEADER}: ${CROWD_PATIENCE_MS}`,
+        `${REMAINING_HEADER}: ${CROWD_TIMEOUT_MS}`,
         `Authorization: Bearer ${STEADY_TEAM.key}`,
         "\r\n",
       ].join("\r\n"),
@@ -51,6 +54,6 @@
   });
   await waitFor(clock, stayMs);
   callers.forEach(({ socket }) => socket.destroy());
-  const leftMs = clock.nowMs();
-  return callers.map(({ callId }) => ({ callId, leftMs }));
+  const abandonedMs = clock.nowMs();
+  return callers.map(({ callId }) => ({ callId, abandonedMs }));
 }
--- a/soak/ending_calls.ts
+++ b/soak/ending_calls.ts
@@ -1,51 +1,52 @@
 import { type Clock, pickRandom, type Random, waitFor } from "../clock/mod.ts";
 import { SoakCaller } from "./caller.ts";
-import type { SeenCall } from "./observation.ts";
+import type { ObservedCall } from "./observation.ts";
 import type { SoakFleet, SoakInstance } from "./soak_fleet.ts";
 
-/** Pause between calls under which servers end, in milliseconds. */
+/** Pause between calls that crash servers, in milliseconds. */
 const CALL_PAUSE_MS = 150;
 
-/** What calls under which servers end are sent with. */
-export interface EndingCallsParts {
+/** Arguments of {@linkcode sendCrashingCalls}. */
+export interface CrashingCallsParts {
   readonly fleet: SoakFleet;
   readonly clock: Clock;
   readonly random: Random;
-  /** Returns the instances that are held to all promises now. */
-  readonly listSteady: () => readonly SoakInstance[];
-  readonly record: (call: SeenCall) => void;
+  /** Returns the instances that have to keep all promises now. */
+  readonly listUndisturbed: () => readonly SoakInstance[];
+  /** Called with each completed call. */
+  readonly record: (call: ObservedCall) => void;
 }
 
 /**
- * Sends a call under which servers end again and again, each time on a new connection:
- * to any instance, and to one that was not disturbed lately.
+ * Repeatedly sends a call that crashes the server that runs it. Each round sends one call to any
+ * instance and one to an instance that was not disturbed lately, each on a new connection.
  *
- * @param parts Fleet, and who hears of each call.
- * @param forMs For how long, in milliseconds.
+ * @param parts Fleet, clock, source of random numbers and recorder of calls.
+ * @param durationMs How long new calls are sent, in milliseconds.
  */
-export async function sendEndingCalls(
-  parts: EndingCallsParts,
-  forMs: number,
+export async function sendCrashingCalls(
+  parts: CrashingCallsParts,
+  durationMs: number,
 ): Promise<void> {
-  const { clock, fleet, listSteady, random } = parts;
-  const untilMs = clock.nowMs() + forMs;
+  const { clock, fleet, listUndisturbed, random } = parts;
+  const untilMs = clock.nowMs() + durationMs;
   const sent: Promise<void>[] = [];
   while (clock.nowMs() < untilMs) {
-    [fleet.instances, listSteady()].forEach((instances) => {
+    [fleet.instances, listUndisturbed()].forEach((instances) => {
       const instance = pickRandom(instances, random);
-      if (instance !== undefined) sent.push(sendOne(parts, instance));
+      if (instance !== undefined) sent.push(sendCrashingCall(parts, instance));
     });
     await waitFor(clock, CALL_PAUSE_MS);
   }
   await Promise.all(sent);
 }
 
-async function sendOne(
-  { clock, fleet, random, record }: EndingCallsParts,
+async function sendCrashingCall(
+  { clock, fleet, random, record }: CrashingCallsParts,
   instance: SoakInstance,
 ): Promise<void> {
   const nowMs = () => clock.nowMs();
   const caller = new SoakCaller({ random, nowMs, record });
-  await caller.call(fleet.toCalled(instance), "ending");
+  await caller.call(fleet.toCalledInstance(instance), "ending");
   caller.close();
 }
--- a/soak/link_proxy.ts
+++ b/soak/link_proxy.ts
@@ -9,55 +9,55 @@
 import { systemClock } from "../adapters/system_clock.ts";
 import { waitFor } from "../clock/mod.ts";
 
-/** What a link does with the bytes that it carries. */
+/** What a link does with the data that it forwards. */
 export type LinkMode =
   | "pass"
-  /** Each piece comes late. */
+  /** Each chunk is delayed. */
   | "delay"
-  /** Nothing comes through, and nothing says so. */
+  /** All data is dropped without an error. */
   | "silence"
-  /** Requests come through, answers do not. */
+  /** Requests are forwarded, answers are dropped. */
   | "one-way"
-  /** Connections are reset, also new ones. */
+  /** Open and new connections are reset. */
   | "reset"
-  /** A few bytes at a time. */
+  /** Data is forwarded a few bytes at a time. */
   | "trickle";
 
 const DELAY_MS = 250;
 const TRICKLE_BYTES = 200;
 const TRICKLE_PAUSE_MS = 10;
 
-interface Way {
+interface DataFlow {
   readonly from: Socket;
   readonly to: Socket;
   readonly direction: "request" | "answer";
 }
 
-/** Carries TCP connections to one address, and disturbs them when told to. */
+/** Forwards TCP connections to one port on loopback, and disturbs them as its mode demands. */
 export class LinkProxy {
   readonly #targetPort: number;
   readonly #sockets = new Set<Socket>();
   #server: Server | undefined;
   #mode: LinkMode = "pass";
 
-  /** @param targetPort Port on 127.0.0.1 that connections go to. */
+  /** @param targetPort Port on 127.0.0.1 to which connections are forwarded. */
   constructor(targetPort: number) {
     this.#targetPort = targetPort;
   }
 
-  /** Listens on loopback and returns its address with the port. */
+  /** Listens on loopback and returns the address and port. */
   async open(): Promise<string> {
-    this.#server = createServer((socket) => this.#carry(socket));
+    this.#server = createServer((socket) => this.#forward(socket));
     this.#server.listen(0, "127.0.0.1");
     await once(this.#server, "listening");
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Sets what happens from now on, also to open connections. */
+  /** Sets the mode, also for open connections. */
   setMode(mode: LinkMode): void {
     const wasBlocked = isBlocked(this.#mode);
     this.#mode = mode;
-    // What was held back cannot be made up for: such connections end.
+    // Dropped data cannot be sent afterwards, so the connections are reset.
     if (mode === "reset" || wasBlocked && !isBlocked(mode)) this.#resetAll();
   }
 
@@ -67,7 +67,7 @@
     this.#resetAll();
   }
 
-  #carry(caller: Socket): void {
+  #forward(caller: Socket): void {
     if (this.#mode === "reset") {
       caller.resetAndDestroy();
       return;
@@ -78,7 +78,7 @@
       const other = ends[1 - at]!;
       this.#sockets.add(socket);
       socket.setNoDelay(true);
-      // Either end's failure ends the other one: that is what it stands for.
+      // A failure of one socket is passed on to the other one, as on a direct connection.
       socket.on("error", () => other.resetAndDestroy());
       socket.on("close", () => {
         this.#sockets.delete(socket);
@@ -89,15 +89,15 @@
     this.#pump({ from: target, to: caller, direction: "answer" });
   }
 
-  #pump(way: Way): void {
-    // Pieces keep their order, whatever each of them waits for.
+  #pump(flow: DataFlow): void {
+    // Chunks keep their order, however long each of them is delayed.
     let before: Promise<void> = Promise.resolve();
-    way.from.on("data", (chunk) => {
-      before = before.then(() => this.#pass(way, chunk));
+    flow.from.on("data", (chunk) => {
+      before = before.then(() => this.#deliver(flow, chunk));
     });
   }
 
-  async #pass({ direction, to }: Way, chunk: Buffer): Promise<void> {
+  async #deliver({ direction, to }: DataFlow, chunk: Buffer): Promise<void> {
     switch (this.#mode) {
       case "pass":
         to.write(chunk);
--- a/soak/link_proxy_test.ts
+++ b/soak/link_proxy_test.ts
@@ -8,13 +8,13 @@
 const CLEAN_UPS: (() => void)[] = [];
 afterEach(() => CLEAN_UPS.splice(0).forEach((cleanUp) => cleanUp()));
 
-/** A server that sends back what it gets, behind a link. */
+/** Starts an echo server behind a link. */
 async function start() {
-  const heard: string[] = [];
+  const received: string[] = [];
   const server = createServer((socket) => {
     socket.on("error", () => {});
     socket.on("data", (chunk) => {
-      heard.push(String(chunk));
+      received.push(String(chunk));
       socket.write(chunk);
     });
   }).listen(0, "127.0.0.1");
@@ -27,7 +27,7 @@
     CLEAN_UPS.push(() => socket.destroy());
     return socket;
   };
-  return { heard, link, open };
+  return { received, link, open };
 }
 
 async function echo(socket: Socket, text: string): Promise<string> {
@@ -41,7 +41,7 @@
 }
 
 describe("LinkProxy", () => {
-  it("carries bytes both ways, whole and in order, also in small pieces", async () => {
+  it("forwards data in both directions, complete and in order, also in small chunks", async () => {
     const { link, open } = await start();
     const socket = open();
     const text = "0123456789".repeat(60);
@@ -52,19 +52,19 @@
     assert.equal(await echo(socket, "late"), "late");
   });
 
-  it("lets requests through one way, and ends such connections afterwards", async () => {
-    const { heard, link, open } = await start();
+  it("forwards requests but no answers in one-way mode, and resets the connections afterwards", async () => {
+    const { received, link, open } = await start();
     const socket = open();
     await echo(socket, "before");
     link.setMode("one-way");
     socket.write("asked");
-    while (!heard.includes("asked")) await setImmediate();
+    while (!received.includes("asked")) await setImmediate();
     const failed = once(socket, "error");
     link.setMode("pass");
     await failed;
   });
 
-  it("resets connections, new ones too", async () => {
+  it("resets open and new connections in reset mode", async () => {
     const { link, open } = await start();
     const socket = open();
     await echo(socket, "before");
--- a/soak/mod.ts
+++ b/soak/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the platform's program as real processes, disturbs them from outside by a
- * seeded plan, and checks what callers and backend servers saw against the
+ * Runs the platform's program as real processes, injects faults from outside by a
+ * seeded plan, and checks what callers and backend servers observed against the
  * promises in docs/SOAK.md.
  *
  * @example
--- a/soak/observation.ts
+++ b/soak/observation.ts
@@ -3,139 +3,146 @@
   RecordedRun,
 } from "../standin/recording_server.ts";
 
-/** What a call asks for. */
+/** Kind of a call, which decides its route, its body and its API key. */
 export type CallKind =
   | "idempotent"
   | "non-idempotent"
   | "stream"
   | "version"
-  /** To end the server that runs it. */
+  /** A call that crashes the server that runs it. */
   | "ending"
-  /** To be run for the team that holds a key for one version only. */
+  /** A call of the team whose key changes with each configuration version. */
   | "rotating"
-  /** Nothing, with a key that no team ever held. */
+  /** A call with a key that no team ever held; it must not run. */
   | "stranger";
 
-/** Calls with keys that are taken away, or that nobody holds: they are not to be served. */
+/** Kinds of calls whose key is revoked or unknown, so that they must not be served. */
 export const KEY_KINDS: readonly CallKind[] = ["rotating", "stranger"];
 
-/** How a call ended, as its caller saw it. */
-export type CallEnd =
+/** Outcome of a call, as its caller observed it. */
+export type CallOutcome =
   | {
     readonly kind: "answered";
     readonly status: number;
     readonly isSigned: boolean;
     readonly body: string;
   }
-  /** The connection ended before the answer did. */
+  /** The connection ended before the answer was complete. */
   | { readonly kind: "broken"; readonly body: string }
-  /** No connection was made, so nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | { readonly kind: "not-connected" }
-  /** The caller's time was over. */
+  /** The caller gave up waiting for the answer. */
   | { readonly kind: "timed-out" };
 
-/** One call as its caller saw it. */
-export interface SeenCall {
+/** One call, as its caller observed it. */
+export interface ObservedCall {
   readonly callId: string;
   readonly kind: CallKind;
   readonly instance: string;
-  /** Which start of the instance's process was called. */
+  /** Number of the start of the instance's process that received the call. */
   readonly start: number;
-  /** Key that it shows. */
+  /** API key that the call presents. */
   readonly key: string;
   readonly sentMs: number;
   readonly endedMs: number;
-  readonly end: CallEnd;
+  readonly end: CallOutcome;
 }
 
-/** A call whose caller went away without an answer. */
-export interface SeenLeft {
+/** A call whose caller disconnected before it got an answer. */
+export interface AbandonedCall {
   readonly callId: string;
-  readonly leftMs: number;
+  readonly abandonedMs: number;
 }
 
-/** What a server left or an instance was gone for, and since when. */
-export interface SeenDeparture {
+/** Time during which a server was not to be called or an instance was down. */
+export interface Departure {
   readonly id: string;
-  /** When the store had accepted it, or the process had ended. */
+  /**
+   * When the store had accepted the change of the server's entry, or when the process had
+   * ended.
+   */
   readonly atMs: number;
-  /** When it came back; infinite: never. */
+  /** When the server or instance was available again; `Infinity` if never. */
   readonly untilMs: number;
 }
 
-/** What the directory of an instance named. */
-export interface SeenDirectory {
+/** Answer of the directory of an instance. */
+export interface DirectoryAnswer {
   readonly atMs: number;
   readonly hosts: readonly string[];
-  /** Those of them to which calls of the caller may not be led. */
-  readonly astray: readonly string[];
+  /** Hosts of the answer to which the caller's calls must not be directed. */
+  readonly forbiddenHosts: readonly string[];
 }
 
-/** What a process held, as the system counts it. */
-export interface SeenProcess {
+/** Resources that a process uses, as the operating system reports them. */
+export interface ProcessResources {
   readonly instance: string;
   readonly memoryMb: number;
   readonly descriptors: number;
 }
 
-/** A planned end of an instance, and whether anything else was wrong then. */
-export interface SeenStop {
+/** A planned graceful shutdown of an instance. */
+export interface InstanceStop {
   readonly instance: string;
   readonly atMs: number;
-  readonly isCalm: boolean;
+  /** Whether no other fault was active at the time. */
+  readonly isUndisturbed: boolean;
 }
 
-/** A time in which an instance stood still or was away. */
-export interface SeenPause {
+/** Time during which an instance was stalled or down. */
+export interface InstancePause {
   readonly instance: string;
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** What a server said of itself in its answers, and nobody else of it. */
-export type SeenWord =
+/** State that a server advertised in its answers alone: its entry in the store did not change. */
+export type ServerAdvertisement =
   & {
     readonly server: string;
     readonly fromMs: number;
     readonly toMs: number;
   }
   & (
-    /** That it leaves, or that it wants rest. */
+    /** The server is leaving, or asks for a cool-down. */
     | { readonly kind: "leaving" | "rest" }
-    /** That it takes so many calls a second from all instances together. */
+    /** The server accepts this many calls per second from all instances together. */
     | { readonly kind: "limit"; readonly perSecond: number }
   );
 
-/** A key that was taken away. */
-export interface SeenKeyEnd {
+/** A key that was revoked. */
+export interface RevokedKey {
   readonly key: string;
   /** When the store had accepted the configuration without it. */
   readonly atMs: number;
 }
 
-/** All that was seen from outside in one run. */
+/** Everything that was observed from outside the processes in one run. */
 export interface Observation {
-  readonly calls: readonly SeenCall[];
+  readonly calls: readonly ObservedCall[];
   readonly runs: readonly RecordedRun[];
-  /** Calls of crowds. */
-  readonly left: readonly SeenLeft[];
-  readonly serverDepartures: readonly SeenDeparture[];
-  readonly instanceDepartures: readonly SeenDeparture[];
-  readonly directories: readonly SeenDirectory[];
-  readonly processes: readonly SeenProcess[];
-  readonly stops: readonly SeenStop[];
-  /** Times at which an instance or a link was disturbed that the bounds excuse. */
-  readonly disturbedMs: readonly {
+  /** Calls of crowds, whose callers disconnected before they got an answer. */
+  readonly abandonedCalls: readonly AbandonedCall[];
+  readonly serverDepartures: readonly Departure[];
+  readonly instanceDepartures: readonly Departure[];
+  readonly directories: readonly DirectoryAnswer[];
+  readonly processes: readonly ProcessResources[];
+  readonly stops: readonly InstanceStop[];
+  /**
+   * Times at which an instance, the store or a link to the store was disturbed, for which some
+   * checks make allowance.
+   */
+  readonly disturbedSpans: readonly {
     readonly fromMs: number;
     readonly toMs: number;
   }[];
-  readonly pauses: readonly SeenPause[];
-  readonly words: readonly SeenWord[];
-  /** Calls that servers turned away as they asked for rest. */
+  readonly pauses: readonly InstancePause[];
+  readonly advertisements: readonly ServerAdvertisement[];
+  /** Calls that servers refused when they asked for a cool-down. */
   readonly refusals: readonly RecordedRefusal[];
-  readonly keyEnds: readonly SeenKeyEnd[];
+  readonly revokedKeys: readonly RevokedKey[];
   /** Version of the last configuration. */
   readonly lastVersion: number;
-  /** From when on everything must work again. */
-  readonly calmFromMs: number;
+  /** Time from which on all calls must be served again. */
+  readonly recoveredFromMs: number;
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,22 +1,25 @@
 import { createRandom, pickRandom, type Random } from "../clock/mod.ts";
 import type { LinkMode } from "./link_proxy.ts";
 
-/** What the parts of a fleet are disturbed by. */
+/** A fault that disturbs one or more components of the fleet. */
 export type Fault =
   | {
     readonly kind: "instance";
     readonly what: "kill" | "pause" | "stop" | "reload";
     readonly index: number;
   }
-  /** Many callers connect to an instance that stands still, and leave before it goes on. */
+  /** Many callers connect to a stalled instance, and disconnect before it resumes. */
   | { readonly kind: "crowd"; readonly index: number }
-  /** All instances of the regions that are homes are stopped at once, and stay away for a while. */
+  /**
+   * All instances of the home regions are shut down gracefully at once, and started again
+   * later.
+   */
   | { readonly kind: "homes" }
-  /** A call under which servers end comes again and again, at any instance. */
+  /** Callers repeatedly send a call that crashes the server that runs it, to any instance. */
   | { readonly kind: "ending-call" }
   | {
     readonly kind: "link";
-    /** Whose calls the link carries: of an instance to the store, or of all to a server. */
+    /** Target of the link: from one instance to the store, or from all instances to a server. */
     readonly to: "store" | "server";
     readonly index: number;
     readonly mode: Exclude<LinkMode, "pass">;
@@ -29,15 +32,18 @@
       | "fail"
       | "break-off"
       | "drain"
-      /** It starts again under its name. */
+      /** The server starts again with the same id and another address. */
       | "restart"
-      /** Another writer overwrites its entry. */
+      /** Another writer overwrites the entry of the server. */
       | "overwrite"
-      /** It turns calls away and asks for rest. */
+      /** The server refuses calls and asks for a cool-down. */
       | "rest"
-      /** Its answers say that it leaves, and nothing else does. */
+      /**
+       * The server advertises that it is leaving in its answers alone; its entry does not
+       * change.
+       */
       | "say-leaving"
-      /** Its answers name a limit of calls a second. */
+      /** The server advertises a limit of calls per second in its answers. */
       | "limit";
     readonly index: number;
   }
@@ -47,31 +53,34 @@
       | "down"
       | "slow"
       | "forget"
-      /** It is away and comes back from a copy of the beginning of the fault. */
+      /** The store goes down and is restored from a backup taken when the fault began. */
       | "restore";
   }
   | { readonly kind: "operator"; readonly what: "configure" | "evacuate" };
 
-/** A fault with its time. */
+/** A fault with its start time and duration. */
 export interface PlannedFault {
   readonly fault: Fault;
-  /** When it begins, from the start of traffic, in milliseconds. */
+  /** Time from the start of the traffic to the start of the fault, in milliseconds. */
   readonly atMs: number;
-  /** How long it lasts, in milliseconds. */
-  readonly forMs: number;
+  /** Duration of the fault, in milliseconds. */
+  readonly durationMs: number;
 }
 
-/** What a plan is made for. */
+/** Arguments of {@linkcode createPlan}. */
 export interface PlanParts {
   readonly seed: number;
+  /** Length of the traffic, in seconds. */
   readonly seconds: number;
+  /** Number of instances. */
   readonly instances: number;
+  /** Number of backend servers. */
   readonly servers: number;
 }
 
 const KINDS = ["instance", "link", "server", "store", "operator"] as const;
 const INSTANCE_FAULTS = ["kill", "pause", "stop", "reload"] as const;
-const LINK_ENDS = ["store", "server"] as const;
+const LINK_TARGETS = ["store", "server"] as const;
 const LINK_MODES = [
   "delay",
   "silence",
@@ -83,187 +92,245 @@
 const STORE_FAULTS = ["down", "slow", "forget"] as const;
 const OPERATOR_CHANGES = ["configure", "evacuate"] as const;
 
-/** Calm at the start, so that every process serves before the first fault. */
-const CALM_START_MS = 1_500;
 /**
- * Calm at the end, in milliseconds: instances that lost the store count as in
- * touch again after 5 s, and servers that were silent are tried again after 4 s.
+ * Time without faults at the start, in milliseconds, so that every process serves before the
+ * first fault.
+ */
+const FAULT_FREE_START_MS = 1_500;
+/**
+ * Time without faults at the end, in milliseconds: instances that lost the store count as
+ * connected again after 5 s, and servers that did not answer are tried again after 4 s.
+ */
+export const FAULT_FREE_END_MS = 9_000;
+/** Length of the intervals that have one crowd each, in milliseconds. */
+const CROWD_INTERVAL_MS = 6_000;
+/**
+ * How long the instance of a crowd is stalled, in milliseconds: the callers disconnect halfway
+ * through.
  */
-export const CALM_END_MS = 9_000;
-/** One crowd in so much time, in milliseconds. */
-const CROWD_EVERY_MS = 6_000;
-/** How long a crowd's instance stands still, in milliseconds: its callers leave in the middle. */
 const CROWD_MS = 2_000;
-/** One restart and one overwritten entry of servers in so much time, in milliseconds. */
-const START_EVERY_MS = 10_000;
-/** How long an overwritten entry stays, in milliseconds: longer than servers that left may get calls. */
+/**
+ * Length of the intervals that have one server restart and one overwritten entry each, in
+ * milliseconds.
+ */
+const ENTRY_FAULT_INTERVAL_MS = 10_000;
+/**
+ * How long an entry stays overwritten, in milliseconds: longer than departed servers may get
+ * calls.
+ */
 const OVERWRITTEN_MS = 8_000;
-/** One stop of all homes in so much time, in milliseconds: two, since a part of them is often disturbed already. */
-const HOMES_EVERY_MS = 5_000;
-/** How long the homes stay away once their instances have ended, in milliseconds: callers ask their directories a few times. */
-const HOMES_MS = 2_000;
-/** One server that asks for rest, and one that says that it leaves, in so much time, in milliseconds. */
-const WORD_EVERY_MS = 7_000;
-/** How long these last, in milliseconds: longer than the rest that is asked for. */
-const WORD_MS = 4_000;
-/** One server that names a limit in so much time, in milliseconds. */
-const LIMIT_EVERY_MS = 7_000;
-/** How long it does, in milliseconds: longer than the span in which its calls are counted. */
+/**
+ * Length of the intervals that have one shutdown of all home regions each, in milliseconds.
+ * A run of the default length has at least two, since a shutdown is skipped where a fault
+ * disturbs one of the instances already, which is often so.
+ */
+const HOME_STOP_INTERVAL_MS = 5_000;
+/**
+ * How long the home regions stay down once their instances have ended, in milliseconds: callers
+ * query the directories a few times meanwhile.
+ */
+const HOME_STOP_MS = 2_000;
+/**
+ * Length of the intervals that have one server that asks for a cool-down and one that
+ * advertises that it is leaving, in milliseconds.
+ */
+const ADVERTISEMENT_INTERVAL_MS = 7_000;
+/** Duration of these two faults, in milliseconds: longer than the requested cool-down. */
+const ADVERTISEMENT_MS = 4_000;
+/** Length of the intervals that have one server with an advertised limit each, in milliseconds. */
+const LIMIT_INTERVAL_MS = 7_000;
+/**
+ * How long a server advertises a limit, in milliseconds: longer than the window in which its
+ * calls are counted.
+ */
 const LIMIT_MS = 5_500;
-/** One return of the store from a copy in so much time, in milliseconds. */
-const RESTORE_EVERY_MS = 7_000;
-/** How long what the store takes in is lost by it, in milliseconds. */
+/**
+ * Length of the intervals that have one restore of the store from a backup each, in
+ * milliseconds.
+ */
+const RESTORE_INTERVAL_MS = 7_000;
+/** Time between backup and restore, in milliseconds: writes of this time are lost. */
 const RESTORE_MS = 3_000;
-const PAUSE_MS = { least: 300, most: 1_500 };
-const DURATION_MS = { least: 300, most: 4_000 };
+/** Time between the starts of two faults, in milliseconds. */
+const FAULT_GAP_MS = { min: 300, max: 1_500 };
+/** Duration of a fault, in milliseconds. */
+const FAULT_DURATION_MS = { min: 300, max: 4_000 };
 
-/** Factor that keeps the first numbers of seeds that follow each other apart: an odd number of 32 bits. */
+/** Odd 32-bit factor that makes the first random numbers of consecutive seeds differ widely. */
 const SEED_SPREAD = 0x9e3779b1;
 
-/** Returns the faults of a seed, the same each time. */
+/** Returns the faults for a seed; the same arguments always give the same plan. */
 export function createPlan(parts: PlanParts): readonly PlannedFault[] {
   const random = createRandom(parts.seed);
-  const endMs = 1_000 * parts.seconds - CALM_END_MS;
+  const endMs = 1_000 * parts.seconds - FAULT_FREE_END_MS;
   const faults: PlannedFault[] = [];
-  let atMs = CALM_START_MS;
+  let atMs = FAULT_FREE_START_MS;
   while (atMs < endMs) {
-    const forMs = Math.min(endMs - atMs, pickBetween(DURATION_MS, random));
-    faults.push({ fault: pickFault(parts, random), atMs, forMs });
-    atMs += pickBetween(PAUSE_MS, random);
+    const durationMs = Math.min(
+      endMs - atMs,
+      pickBetween(FAULT_DURATION_MS, random),
+    );
+    faults.push({ fault: pickFault(parts, random), atMs, durationMs });
+    atMs += pickBetween(FAULT_GAP_MS, random);
   }
   return [
     ...faults,
     ...planCrowds(parts, endMs),
-    ...planServerStarts(parts, endMs),
+    ...planEntryFaults(parts, endMs),
     ...planHomeStops(parts, endMs),
-    ...planEndingCalls(endMs),
-    ...planWords(parts, endMs),
+    ...planCrashingCalls(endMs),
+    ...planAdvertisements(parts, endMs),
     ...planLimits(parts, endMs),
     ...planRestores(parts, endMs),
   ];
 }
 
-/** Plans what befalls the entries of servers, from numbers of their own as crowds are. */
-function planServerStarts(
+/**
+ * Plans restarts of servers and overwritten entries, from a separate random sequence as for
+ * crowds.
+ */
+function planEntryFaults(
   { seed, servers }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(~seed ^ 1);
-  const count = Math.floor((endMs - CALM_START_MS) / START_EVERY_MS) + 1;
-  const plan = (what: "restart" | "overwrite", forMs: number) =>
-    Array.from({ length: count }, (_, turn) => ({
+  const count =
+    Math.floor((endMs - FAULT_FREE_START_MS) / ENTRY_FAULT_INTERVAL_MS) +
+    1;
+  const plan = (what: "restart" | "overwrite", durationMs: number) =>
+    Array.from({ length: count }, (_, interval) => ({
       fault: {
         kind: "server" as const,
         what,
         index: Math.floor(random.nextFloat() * servers),
       },
-      atMs: CALM_START_MS + turn * START_EVERY_MS +
-        Math.round(random.nextFloat() * (START_EVERY_MS - forMs)),
-      forMs,
+      atMs: FAULT_FREE_START_MS + interval * ENTRY_FAULT_INTERVAL_MS +
+        Math.round(random.nextFloat() * (ENTRY_FAULT_INTERVAL_MS - durationMs)),
+      durationMs,
     }));
   return [...plan("restart", 0), ...plan("overwrite", OVERWRITTEN_MS)]
-    .filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    .filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** Plans stops of all homes, from numbers of their own as crowds are. */
+/** Plans shutdowns of all home regions, from a separate random sequence as for crowds. */
 function planHomeStops(
   { seed }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(~seed ^ 2);
-  const count = Math.floor((endMs - CALM_START_MS) / HOMES_EVERY_MS) + 1;
-  return Array.from({ length: count }, (_, turn) => ({
+  const count =
+    Math.floor((endMs - FAULT_FREE_START_MS) / HOME_STOP_INTERVAL_MS) + 1;
+  return Array.from({ length: count }, (_, interval) => ({
     fault: { kind: "homes" as const },
-    atMs: CALM_START_MS + turn * HOMES_EVERY_MS +
-      Math.round(random.nextFloat() * (HOMES_EVERY_MS - HOMES_MS)),
-    forMs: HOMES_MS,
-  })).filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    atMs: FAULT_FREE_START_MS + interval * HOME_STOP_INTERVAL_MS +
+      Math.round(random.nextFloat() * (HOME_STOP_INTERVAL_MS - HOME_STOP_MS)),
+    durationMs: HOME_STOP_MS,
+  })).filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** A late run of a call under which servers end can be seen only while it still comes. */
-function planEndingCalls(endMs: number): readonly PlannedFault[] {
+/**
+ * Plans calls that crash servers for the whole time: a late run can be observed only while such
+ * calls still arrive.
+ */
+function planCrashingCalls(endMs: number): readonly PlannedFault[] {
   const fault = { kind: "ending-call" } as const;
-  return [{ fault, atMs: CALM_START_MS, forMs: endMs - CALM_START_MS }];
+  return [{
+    fault,
+    atMs: FAULT_FREE_START_MS,
+    durationMs: endMs - FAULT_FREE_START_MS,
+  }];
 }
 
-/** Plans what servers say of themselves, from numbers of their own as crowds are. */
-function planWords(
+/**
+ * Plans which servers ask for a cool-down or advertise that they are leaving, from a separate
+ * random sequence as for crowds.
+ */
+function planAdvertisements(
   { seed, servers }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(~seed ^ 4);
-  const count = Math.floor((endMs - CALM_START_MS) / WORD_EVERY_MS) + 1;
+  const count =
+    Math.floor((endMs - FAULT_FREE_START_MS) / ADVERTISEMENT_INTERVAL_MS) + 1;
   const plan = (what: "rest" | "say-leaving") =>
-    Array.from({ length: count }, (_, turn) => ({
+    Array.from({ length: count }, (_, interval) => ({
       fault: {
         kind: "server" as const,
         what,
         index: Math.floor(random.nextFloat() * servers),
       },
-      atMs: CALM_START_MS + turn * WORD_EVERY_MS +
-        Math.round(random.nextFloat() * (WORD_EVERY_MS - WORD_MS)),
-      forMs: WORD_MS,
+      atMs: FAULT_FREE_START_MS + interval * ADVERTISEMENT_INTERVAL_MS +
+        Math.round(
+          random.nextFloat() * (ADVERTISEMENT_INTERVAL_MS - ADVERTISEMENT_MS),
+        ),
+      durationMs: ADVERTISEMENT_MS,
     }));
   return [...plan("rest"), ...plan("say-leaving")]
-    .filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    .filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** Plans which servers name limits, from numbers of their own as crowds are. */
+/** Plans which servers advertise limits, from a separate random sequence as for crowds. */
 function planLimits(
   { seed, servers }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(Math.imul(seed, SEED_SPREAD));
-  const count = Math.floor((endMs - CALM_START_MS) / LIMIT_EVERY_MS) + 1;
-  return Array.from({ length: count }, (_, turn) => ({
+  const count = Math.floor((endMs - FAULT_FREE_START_MS) / LIMIT_INTERVAL_MS) +
+    1;
+  return Array.from({ length: count }, (_, interval) => ({
     fault: {
       kind: "server" as const,
       what: "limit" as const,
       index: Math.floor(random.nextFloat() * servers),
     },
-    atMs: CALM_START_MS + turn * LIMIT_EVERY_MS +
-      Math.round(random.nextFloat() * (LIMIT_EVERY_MS - LIMIT_MS)),
-    forMs: LIMIT_MS,
-  })).filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    atMs: FAULT_FREE_START_MS + interval * LIMIT_INTERVAL_MS +
+      Math.round(random.nextFloat() * (LIMIT_INTERVAL_MS - LIMIT_MS)),
+    durationMs: LIMIT_MS,
+  })).filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** Plans returns of the store from older copies, from numbers of their own as crowds are. */
+/** Plans restores of the store from backups, from a separate random sequence as for crowds. */
 function planRestores(
   { seed }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(Math.imul(seed, SEED_SPREAD) ^ 1);
-  const count = Math.floor((endMs - CALM_START_MS) / RESTORE_EVERY_MS) + 1;
-  return Array.from({ length: count }, (_, turn) => ({
+  const count =
+    Math.floor((endMs - FAULT_FREE_START_MS) / RESTORE_INTERVAL_MS) + 1;
+  return Array.from({ length: count }, (_, interval) => ({
     fault: { kind: "store" as const, what: "restore" as const },
-    atMs: CALM_START_MS + turn * RESTORE_EVERY_MS +
-      Math.round(random.nextFloat() * (RESTORE_EVERY_MS - RESTORE_MS)),
-    forMs: RESTORE_MS,
-  })).filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    atMs: FAULT_FREE_START_MS + interval * RESTORE_INTERVAL_MS +
+      Math.round(random.nextFloat() * (RESTORE_INTERVAL_MS - RESTORE_MS)),
+    durationMs: RESTORE_MS,
+  })).filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** Plans crowds from numbers of their own: the other faults of a seed stay as they were. */
+/**
+ * Plans crowds from a separate random sequence, so that they do not change the other faults of
+ * a seed.
+ */
 function planCrowds(
   { instances, seed }: PlanParts,
   endMs: number,
 ): readonly PlannedFault[] {
   const random = createRandom(~seed);
-  const count = Math.floor((endMs - CALM_START_MS) / CROWD_EVERY_MS) + 1;
-  return Array.from({ length: count }, (_, turn) => ({
+  const count = Math.floor((endMs - FAULT_FREE_START_MS) / CROWD_INTERVAL_MS) +
+    1;
+  return Array.from({ length: count }, (_, interval) => ({
     fault: {
       kind: "crowd" as const,
       index: Math.floor(random.nextFloat() * instances),
     },
-    atMs: CALM_START_MS + turn * CROWD_EVERY_MS +
-      Math.round(random.nextFloat() * (CROWD_EVERY_MS - CROWD_MS)),
-    forMs: CROWD_MS,
-  })).filter(({ atMs, forMs }) => atMs + forMs <= endMs);
+    atMs: FAULT_FREE_START_MS + interval * CROWD_INTERVAL_MS +
+      Math.round(random.nextFloat() * (CROWD_INTERVAL_MS - CROWD_MS)),
+    durationMs: CROWD_MS,
+  })).filter(({ atMs, durationMs }) => atMs + durationMs <= endMs);
 }
 
-/** Returns a fault in one line. */
-export function formatFault({ fault, atMs, forMs }: PlannedFault): string {
+/** Returns a one-line description of a planned fault. */
+export function formatFault({ fault, atMs, durationMs }: PlannedFault): string {
   const { kind, ...rest } = fault;
-  return `${atMs} ms, for ${forMs} ms: ${kind} ${
+  return `${atMs} ms, for ${durationMs} ms: ${kind} ${
     Object.values(rest).join(" ")
   }`;
 }
@@ -283,7 +350,7 @@
         index: pickIndex(instances),
       };
     case "link": {
-      const to = pick(LINK_ENDS);
+      const to = pick(LINK_TARGETS);
       const index = pickIndex(to === "store" ? instances : servers);
       return { kind, to, index, mode: pick(LINK_MODES) };
     }
@@ -301,8 +368,8 @@
 }
 
 function pickBetween(
-  { least, most }: { readonly least: number; readonly most: number },
+  { min, max }: { readonly min: number; readonly max: number },
   random: Random,
 ): number {
-  return Math.round(least + random.nextFloat() * (most - least));
+  return Math.round(min + random.nextFloat() * (max - min));
 }
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -11,34 +11,39 @@
 import { checkPromises, type Violation } from "./check_promises.ts";
 import {
   type CallKind,
+  type DirectoryAnswer,
   KEY_KINDS,
   type Observation,
-  type SeenCall,
-  type SeenDirectory,
-  type SeenProcess,
+  type ObservedCall,
+  type ProcessResources,
 } from "./observation.ts";
-import { CALM_END_MS, createPlan } from "./plan.ts";
+import { createPlan, FAULT_FREE_END_MS } from "./plan.ts";
 import { SoakFleet, type SoakInstance } from "./soak_fleet.ts";
 
-/** What one run of the soak is made of. */
+/** Arguments of {@linkcode runSoak}. */
 export interface SoakParts {
   /** Path of the built program. */
   readonly program: string;
+  /** Seed of the plan, of the calls and of their ids. */
   readonly seed: number;
-  /** Length of the traffic; faults end some seconds before. */
+  /** Length of the traffic, in seconds; the last fault ends some seconds earlier. */
   readonly seconds: number;
   readonly instancesPerRegion: number;
+  /** Called with a one-line description of each fault. */
   readonly print: (line: string) => void;
 }
 
-/** What a run found. */
+/** Result of a run. */
 export interface SoakReport {
   readonly seed: number;
+  /** Number of calls, without those of crowds and those that crash servers. */
   readonly calls: number;
+  /** Number of calls that were answered with 200. */
   readonly served: number;
+  /** Number of planned faults. */
   readonly faults: number;
   readonly violations: readonly Violation[];
-  /** The largest process at the end, in MB. */
+  /** Memory of the largest process at the end, in MB. */
   readonly mostMemoryMb: number;
 }
 
@@ -50,14 +55,19 @@
   "non-idempotent",
   "stream",
 ];
-/** Pause of a caller between calls, in milliseconds, and after one that failed. */
+/** Pause of a caller after an answered call, in milliseconds. */
 const CALL_PAUSE_MS = 40;
+/** Pause of a caller after a failed call, in milliseconds. */
 const FAILED_PAUSE_MS = 150;
+/** Pause between two queries of directories, in milliseconds. */
 const DIRECTORY_PAUSE_MS = 200;
-/** Calm after which everything must work again, in milliseconds: the users' 5 s, and half as much again. */
-const RECOVERED_AFTER_MS = 7_500;
+/**
+ * Time after the faults, once all instances are ready, until calls must be served again, in
+ * milliseconds: the users' requirement of 5 s, and half as much again.
+ */
+const RECOVERY_MS = 7_500;
 
-/** Runs one seed on real processes and checks what callers and servers saw. */
+/** Runs the plan of one seed on real processes and checks what callers and servers observed. */
 export async function runSoak(parts: SoakParts): Promise<SoakReport> {
   const clock = systemClock;
   const runs: RecordedRun[] = [];
@@ -86,11 +96,11 @@
 ): Promise<SoakReport> {
   const clock = systemClock;
   const startMs = clock.nowMs();
-  const ended = new AbortController();
-  const calls: SeenCall[] = [];
-  const directories: SeenDirectory[] = [];
-  const callers = startCallers(fleet, calls, parts.seed, ended.signal);
-  const asking = askDirectories(fleet, directories, ended.signal);
+  const trafficEnded = new AbortController();
+  const calls: ObservedCall[] = [];
+  const directories: DirectoryAnswer[] = [];
+  const callers = startCallers(fleet, calls, parts.seed, trafficEnded.signal);
+  const polling = watchDirectories(fleet, directories, trafficEnded.signal);
   const faults = new FaultRunner({
     fleet,
     clock,
@@ -108,26 +118,26 @@
     await faults.run(planned);
   }));
   while (!await fleet.areAllReady()) await waitFor(clock, 100);
-  const calmMs = clock.nowMs();
-  await waitFor(clock, CALM_END_MS);
-  ended.abort("over");
-  await Promise.all([...callers, asking]);
+  const faultsEndedMs = clock.nowMs();
+  await waitFor(clock, FAULT_FREE_END_MS);
+  trafficEnded.abort("over");
+  await Promise.all([...callers, polling]);
   const processes = fleet.instances.flatMap(measureProcess);
   const violations = checkPromises({
-    calls: [...calls, ...faults.endingCalls],
+    calls: [...calls, ...faults.crashingCalls],
     ...recorded,
-    words: faults.words,
-    left: faults.left,
+    advertisements: faults.advertisements,
+    abandonedCalls: faults.abandonedCalls,
     directories,
     processes,
     serverDepartures: faults.serverDepartures,
     instanceDepartures: faults.instanceDepartures,
     stops: faults.listStops(),
-    disturbedMs: faults.disturbedMs,
+    disturbedSpans: faults.disturbedSpans,
     pauses: faults.pauses,
-    keyEnds: fleet.keyEnds,
+    revokedKeys: fleet.revokedKeys,
     lastVersion: fleet.version,
-    calmFromMs: calmMs + RECOVERED_AFTER_MS,
+    recoveredFromMs: faultsEndedMs + RECOVERY_MS,
   });
   return {
     seed: parts.seed,
@@ -143,7 +153,7 @@
 
 function startCallers(
   fleet: SoakFleet,
-  calls: SeenCall[],
+  calls: ObservedCall[],
   seed: number,
   signal: AbortSignal,
 ): readonly Promise<void>[] {
@@ -162,7 +172,7 @@
   fleet: SoakFleet,
   instance: SoakInstance,
   kinds: readonly CallKind[],
-  calls: SeenCall[],
+  calls: ObservedCall[],
   random: Random,
   signal: AbortSignal,
 ): Promise<void> {
@@ -171,50 +181,58 @@
     nowMs: () => systemClock.nowMs(),
     record: (call) => calls.push(call),
   });
-  for (let turn = 0; !signal.aborted; turn++) {
-    const kind = kinds[turn % kinds.length]!;
-    const { end } = await caller.call(fleet.toCalled(instance), kind);
+  for (let round = 0; !signal.aborted; round++) {
+    const kind = kinds[round % kinds.length]!;
+    const { end } = await caller.call(
+      fleet.toCalledInstance(instance),
+      kind,
+    );
     const pauseMs = end.kind === "answered" ? CALL_PAUSE_MS : FAILED_PAUSE_MS;
     await waitFor(systemClock, pauseMs * (0.5 + random.nextFloat()));
   }
   caller.close();
 }
 
-async function askDirectories(
+async function watchDirectories(
   fleet: SoakFleet,
-  directories: SeenDirectory[],
+  directories: DirectoryAnswer[],
   signal: AbortSignal,
 ): Promise<void> {
-  for (let turn = 0; !signal.aborted; turn++) {
+  for (let round = 0; !signal.aborted; round++) {
     const { length } = fleet.instances;
-    const { process, region } = fleet.instances[turn % length]!;
-    // Callers ask those of other regions once theirs do not answer.
-    const caller = REGIONS[Math.floor(turn / length) % REGIONS.length]!;
+    const { process, region } = fleet.instances[round % length]!;
+    // Callers query the directories of other regions if those of their own do not answer.
+    const caller = REGIONS[Math.floor(round / length) % REGIONS.length]!;
     const [own, bound] = await Promise.all([
-      askDirectory(process, SOAK_HOST, region),
-      askDirectory(process, BOUND_HOST, caller),
+      readDirectory(process, SOAK_HOST, region),
+      readDirectory(process, BOUND_HOST, caller),
     ]);
     const allowed = [...fleet.homeRegions, caller];
-    const astray = fleet.instances.filter((instance) =>
+    const forbiddenHosts = fleet.instances.filter((instance) =>
       bound.hosts.includes(instance.process.host) &&
       !allowed.includes(instance.region)
     ).map((instance) => instance.process.host);
-    directories.push({ ...own, astray: [] }, { ...bound, astray });
+    directories.push({ ...own, forbiddenHosts: [] }, {
+      ...bound,
+      forbiddenHosts,
+    });
     await waitFor(systemClock, DIRECTORY_PAUSE_MS);
   }
 }
 
-async function askDirectory(
+async function readDirectory(
   process: PlatformProcess,
   host: string,
   region: string,
-): Promise<Omit<SeenDirectory, "astray">> {
+): Promise<Omit<DirectoryAnswer, "forbiddenHosts">> {
   const atMs = systemClock.nowMs();
   const addresses = await process.listEntries(host, region) ?? [];
   return { atMs, hosts: addresses.map((address) => address.split(":")[0]!) };
 }
 
-function measureProcess({ process }: SoakInstance): readonly SeenProcess[] {
+function measureProcess(
+  { process }: SoakInstance,
+): readonly ProcessResources[] {
   const { name, pid } = process;
   if (pid === undefined) return [];
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
--- a/soak/run_soak_test.ts
+++ b/soak/run_soak_test.ts
@@ -9,7 +9,7 @@
 after(() => rmSync(dirname(PROGRAM), { recursive: true, force: true }));
 
 describe("runSoak()", () => {
-  it("finds no promise broken in a short run on real processes", async () => {
+  it("reports no broken promise after a short run on real processes", async () => {
     const report = await runSoak({
       program: PROGRAM,
       seed: 7,
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -20,10 +20,10 @@
   STEADY_TEAM,
   toRotatingKey,
 } from "./caller.ts";
-import type { SeenKeyEnd } from "./observation.ts";
+import type { RevokedKey } from "./observation.ts";
 import { LinkProxy } from "./link_proxy.ts";
 
-/** What a fleet is made of. */
+/** Constructor arguments of {@linkcode SoakFleet}. */
 export interface SoakFleetParts {
   /** Path of the built program. */
   readonly program: string;
@@ -35,14 +35,14 @@
   readonly recordRefusal: (refusal: RecordedRefusal) => void;
 }
 
-/** An instance with its own link to the store. */
+/** An instance, with its own link to the store. */
 export interface SoakInstance {
   readonly process: PlatformProcess;
   readonly region: string;
   readonly storeLink: LinkProxy;
 }
 
-/** The place of a server, which one start after the other takes. */
+/** Slot for one backend server, whose server is replaced or restarted after faults. */
 export interface ServerSlot {
   readonly region: string;
   readonly service: string;
@@ -52,34 +52,36 @@
   startedMs: number;
 }
 
-/** Service of the calls that work. */
+/** Service of all routes but the one that is named after the configuration version. */
 const WORK_SERVICE = "work";
-/** First host number of the instances' loopback addresses. */
+/** Host number of the first instance's loopback address. */
 const FIRST_HOST = 10;
-/** Time from SIGTERM to SIGKILL, in seconds, as the users have it. */
+/** Time from SIGTERM to SIGKILL on the users' platform, in seconds. */
 const GRACE_S = 8;
+/** Timeout of all routes, in milliseconds. */
 const TIMEOUT_MS = 4_000;
-/** After how long a server that ended of a call is replaced, in milliseconds. */
-const REPLACED_AFTER_MS = 2_000;
-/** Pause between looks whether all instances take calls, in milliseconds. */
-const READY_LOOK_MS = 100;
+/** Time after which a server that crashed because of a call is replaced, in milliseconds. */
+const REPLACEMENT_DELAY_MS = 2_000;
+/** Interval at which the readiness of the instances is polled, in milliseconds. */
+const READY_POLL_MS = 100;
 
-/** Real processes, with stand-ins for the store and the backend servers. */
+/** Instances as real processes, with stand-ins for the store and the backend servers. */
 export class SoakFleet {
   readonly store: MemoryStore;
   readonly operator: PlatformOperator;
   readonly instances: SoakInstance[] = [];
   readonly slots: ServerSlot[] = [];
-  /** When servers ended of a call. */
-  readonly serverEndsMs: number[] = [];
-  readonly keyEnds: SeenKeyEnd[] = [];
+  /** When servers crashed because of a call. */
+  readonly serverCrashesMs: number[] = [];
+  /** Keys that a later configuration has revoked. */
+  readonly revokedKeys: RevokedKey[] = [];
   readonly #parts: SoakFleetParts;
   readonly #closers: (() => void)[] = [];
-  readonly #ended = new AbortController();
+  readonly #closed = new AbortController();
   #serverCount = 0;
   #version = 0;
 
-  /** @param parts Program and sizes. */
+  /** @param parts Program, regions, sizes, clock and recorders. */
   constructor(parts: SoakFleetParts) {
     this.#parts = parts;
     this.store = new MemoryStore(parts.clock);
@@ -91,24 +93,26 @@
     return this.#version;
   }
 
-  /** Starts everything and resolves when all instances take calls. */
+  /** Starts servers, store and instances, and resolves when all instances are ready. */
   async start(): Promise<void> {
     const { instancesPerRegion, regions, serversPerRegion } = this.#parts;
-    const places = regions.flatMap((region) =>
+    const serverRegions = regions.flatMap((region) =>
       Array.from({ length: serversPerRegion }, () => region)
     );
-    for (const region of places) {
+    for (const region of serverRegions) {
       this.slots.push(await this.#createSlot(region, WORK_SERVICE));
     }
     await this.configure();
     const standin = await startStoreStandin(this.store);
     this.#closers.push(() => standin.close());
     const storePort = Number(standin.address.split(":")[1]);
-    const homes = regions.flatMap((region) =>
+    const instanceRegions = regions.flatMap((region) =>
       Array.from({ length: instancesPerRegion }, () => region)
     );
-    const hosts = homes.map((_, at) => toOwnLoopback(FIRST_HOST + at));
-    for (const [at, region] of homes.entries()) {
+    const hosts = instanceRegions.map((_, at) =>
+      toOwnLoopback(FIRST_HOST + at)
+    );
+    for (const [at, region] of instanceRegions.entries()) {
       const storeLink = new LinkProxy(storePort);
       const process = new PlatformProcess({
         program: this.#parts.program,
@@ -124,11 +128,11 @@
       process.start();
     }
     while (!await this.areAllReady()) {
-      await waitFor(this.#parts.clock, READY_LOOK_MS);
+      await waitFor(this.#parts.clock, READY_POLL_MS);
     }
   }
 
-  /** Whether every instance says that it takes calls. */
+  /** Returns whether every instance reports that it is ready for calls. */
   async areAllReady(): Promise<boolean> {
     const ready = await Promise.all(
       this.instances.map(({ process }) => process.isReady()),
@@ -136,25 +140,33 @@
     return ready.every((isReady) => isReady);
   }
 
-  /** Homes of the bound calls: all regions but the last. */
+  /** Home regions of the bound calls: all regions but the last. */
   get homeRegions(): readonly string[] {
     return this.#parts.regions.slice(0, -1);
   }
 
-  /** Instances of the regions that are homes. */
+  /** Instances of the home regions. */
   get homeInstances(): readonly SoakInstance[] {
     return this.instances.filter(({ region }) =>
       this.homeRegions.includes(region)
     );
   }
 
-  /** Returns an instance as callers know it. */
-  toCalled({ process: { host, name, starts } }: SoakInstance): CalledInstance {
+  /**
+   * Returns the address, start number and configuration version that callers of an instance
+   * need.
+   */
+  toCalledInstance(
+    { process: { host, name, starts } }: SoakInstance,
+  ): CalledInstance {
     const { version } = this;
     return { name, host, port: PLATFORM_PORTS.callers, starts, version };
   }
 
-  /** Puts the next version in force: calls of one kind go to servers named after it. */
+  /**
+   * Writes the next configuration version, which routes the calls of kind "version" to servers
+   * named after it.
+   */
   async configure(): Promise<void> {
     this.#version++;
     const service = `version-${this.#version}`;
@@ -188,47 +200,47 @@
       { name: STEADY_TEAM.name, keys: [STEADY_TEAM.key] },
       { name: ROTATING_TEAM, keys: [toRotatingKey(this.#version)] },
     ]);
-    this.keyEnds.push({
+    this.revokedKeys.push({
       key: toRotatingKey(this.#version - 1),
       atMs: this.#parts.clock.nowMs(),
     });
   }
 
-  /** Starts a new server in a slot, under a new id and address. */
+  /** Starts a new server in a slot, with a new id and address. */
   async replaceServer(slot: ServerSlot): Promise<void> {
     const next = await this.#createSlot(slot.region, slot.service);
     Object.assign(slot, next);
   }
 
-  /** Starts the server of a slot again, under its name and at another address. */
+  /** Restarts the server of a slot, with the same id and another address. */
   async restartServer(slot: ServerSlot): Promise<void> {
     slot.server.crash();
     const { region, server, service } = slot;
     Object.assign(slot, await this.#createSlot(region, service, server.id));
   }
 
-  /** Tells the store whether a slot's server drains. */
+  /** Registers a slot's server in the store, and whether it drains. */
   register(slot: ServerSlot, isDraining = false): Promise<void> {
     const { address, region, startedMs, server: { id, service } } = slot;
     const entry = { id, service, address, region, isDraining, startedMs };
     return this.operator.register(entry);
   }
 
-  /** Starts another server in the place of one that ended of a call. */
-  async #replaceEnded(id: string): Promise<void> {
-    const { signal } = this.#ended;
-    this.serverEndsMs.push(this.#parts.clock.nowMs());
-    await waitFor(this.#parts.clock, REPLACED_AFTER_MS, signal);
+  /** Replaces a server that crashed because of a call. */
+  async #replaceCrashed(id: string): Promise<void> {
+    const { signal } = this.#closed;
+    this.serverCrashesMs.push(this.#parts.clock.nowMs());
+    await waitFor(this.#parts.clock, REPLACEMENT_DELAY_MS, signal);
     const slot = this.slots.find(({ server }) => server.id === id);
-    // Another fault may have replaced it meanwhile.
+    // Another fault may have replaced the server in the meantime.
     if (signal.aborted || slot === undefined) return;
     await this.operator.unregister(id);
     await this.replaceServer(slot);
   }
 
-  /** Ends all processes and sockets. */
+  /** Ends all processes and closes all sockets. */
   close(): void {
-    this.#ended.abort("closed");
+    this.#closed.abort("closed");
     this.instances.forEach(({ process, storeLink }) => {
       process.signal("SIGCONT");
       process.destroy();
@@ -249,7 +261,7 @@
       nowMs: () => clock.nowMs(),
       record: recordRun,
       recordRefusal,
-      onEnded: () => void this.#replaceEnded(id),
+      onEnded: () => void this.#replaceCrashed(id),
     });
     const link = new LinkProxy(await server.open());
     const address = await link.open();
