--- a/bench/opaque_backend.ts
+++ b/bench/opaque_backend.ts
@@ -6,13 +6,13 @@
   SIGNATURE_HEADER,
 } from "../standin/platform_headers.ts";
 
-/** Events of a streamed answer. */
-const EVENTS = 20;
-const WHOLE_BODY = Buffer.alloc(800, "w");
+/** Number of events in a streamed answer. */
+const EVENT_COUNT = 20;
+const PLAIN_BODY = Buffer.alloc(800, "w");
 
 /**
- * Answers each call at once: `/stream` with events, one a turn of its loop, all
- * else with 800 bytes.
+ * Server that answers each call at once: paths with `/stream` get events, one
+ * per timer of 1 ms, all others get 800 bytes.
  */
 const server = createServer((request, response) => {
   request.resume();
@@ -21,19 +21,19 @@
     response.setHeader(CALL_ID_HEADER, callId);
     response.setHeader(SIGNATURE_HEADER, "bench");
     if (!request.url?.includes("/stream")) {
-      response.setHeader("Content-Length", WHOLE_BODY.length);
-      response.end(WHOLE_BODY);
+      response.setHeader("Content-Length", PLAIN_BODY.length);
+      response.end(PLAIN_BODY);
       return;
     }
     response.setHeader("Content-Type", "text/event-stream");
     let sent = 0;
-    const push = () => {
+    const sendEvent = () => {
       sent++;
       response.write(`id: ${sent}\ndata: ${"t".repeat(60)}\n\n`);
-      if (sent < EVENTS) setTimeout(push, 1);
+      if (sent < EVENT_COUNT) setTimeout(sendEvent, 1);
       else response.end();
     };
-    push();
+    sendEvent();
   });
 }).listen(0, "127.0.0.1", () => {
   parentPort?.postMessage((server.address() as AddressInfo).port);
--- a/bench/opaque_bench.ts
+++ b/bench/opaque_bench.ts
@@ -7,15 +7,16 @@
 
 const ROUNDS = 5;
 const ROUND_MS = 1_500;
-const KINDS = [
+const CALL_KINDS = [
   { name: "plain", path: "/a/x", rate: 400, bodyBytes: 0 },
   { name: "34 KB up", path: "/a/x", rate: 200, bodyBytes: 34_000 },
   { name: "20 events", path: "/a/stream", rate: 100, bodyBytes: 770 },
 ] as const;
 
 /**
- * Measures the processor time of a forwarded call beside a forwarder that only
- * copies, in turns inside one run. Server and load have a thread each.
+ * Measures the processor time of a forwarded call, compared with a bare
+ * forwarder that only copies bytes. Rounds of both alternate within one run.
+ * The server and the load generator each run in a thread of their own.
  */
 export async function runOpaqueBench(): Promise<BenchResult> {
   const backend = new Worker(new URL("./opaque_backend.js", import.meta.url));
@@ -34,14 +35,14 @@
   const load = new Worker(new URL("./opaque_load.js", import.meta.url));
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
-  for (const kind of KINDS) {
+  for (const kind of CALL_KINDS) {
     const round = { ...kind, durationMs: ROUND_MS };
     const busyMs = { bare: 0, gateway: 0 };
-    for (let count = 0; count <= ROUNDS; count++) {
-      const bareMs = await measure(load, round, bare);
-      const gatewayMs = await measure(load, round, gateway);
-      // The first round warms up caches and the compiler.
-      if (count === 0) continue;
+    for (let roundIndex = 0; roundIndex <= ROUNDS; roundIndex++) {
+      const bareMs = await measureBusyMs(load, round, bare);
+      const gatewayMs = await measureBusyMs(load, round, gateway);
+      // The first round only warms up caches and the JIT compiler.
+      if (roundIndex === 0) continue;
       busyMs.bare += bareMs;
       busyMs.gateway += gatewayMs;
     }
@@ -65,11 +66,11 @@
     head: ["CALL", "BARE US", "GATEWAY US", "RATIO"],
     rows,
     figures,
-    notes: ["time that the forwarder's thread is busy for a call"],
+    notes: ["time that the thread of the forwarder is busy, per call"],
   };
 }
 
-async function measure(
+async function measureBusyMs(
   load: Worker,
   kind: Omit<OpaqueRound, "url"> & { readonly path: string },
   { host = "127.0.0.1", port }: {
@@ -80,11 +81,13 @@
   const { path, ...round } = kind;
   const start = performance.eventLoopUtilization();
   load.postMessage({ ...round, url: `http://${host}:${port}${path}` });
-  const [whole] = await once(load, "message") as [number];
+  const [completeCount] = await once(load, "message") as [number];
   const busy = performance.eventLoopUtilization(start).active;
-  const wanted = Math.floor((round.rate * round.durationMs) / 1_000);
-  if (whole !== wanted) {
-    throw new Error(`Only ${whole} of ${wanted} were whole`);
+  const callCount = Math.floor((round.rate * round.durationMs) / 1_000);
+  if (completeCount !== callCount) {
+    throw new Error(
+      `Wanted a complete answer to each call, got ${completeCount} of ${callCount}`,
+    );
   }
   return busy;
 }
--- a/bench/opaque_load.ts
+++ b/bench/opaque_load.ts
@@ -5,10 +5,10 @@
   REMAINING_HEADER,
 } from "../standin/platform_headers.ts";
 
-/** A round of calls that the load thread is asked for. */
+/** A round of calls that the load thread runs on request. */
 export interface OpaqueRound {
   readonly url: string;
-  /** Calls a second. */
+  /** Calls per second. */
   readonly rate: number;
   readonly durationMs: number;
   readonly bodyBytes: number;
@@ -18,10 +18,15 @@
 let callId = 0;
 
 parentPort?.on("message", (round: OpaqueRound) => {
-  void runRound(round).then((whole) => parentPort?.postMessage(whole));
+  void runRound(round).then((completeCount) =>
+    parentPort?.postMessage(completeCount)
+  );
 });
 
-/** Open loop: each call starts at its time; returns how many answers were whole. */
+/**
+ * Runs a round in open loop: each call starts at its planned time. Returns the
+ * number of calls that were answered completely with status 200.
+ */
 async function runRound(round: OpaqueRound): Promise<number> {
   const { bodyBytes, durationMs, rate, url } = round;
   const startMs = performance.now();
@@ -33,7 +38,7 @@
       await new Promise((resolve) =>
         setTimeout(resolve, dueMs - performance.now())
       );
-      const answer = await request(url, {
+      const response = await request(url, {
         method: body === null ? "GET" : "POST",
         headers: {
           host: "app.example",
@@ -43,8 +48,8 @@
         body,
         dispatcher: agent,
       });
-      await answer.body.text();
-      return answer.statusCode === 200 ? 1 : 0;
+      await response.body.text();
+      return response.statusCode === 200 ? 1 : 0;
     },
   );
   const results: number[] = await Promise.all(calls);
--- a/bench/paper_threshold.ts
+++ b/bench/paper_threshold.ts
@@ -1,36 +1,40 @@
-/** Rates of a pool of equal servers. */
+/** Size and rates of a pool of equal servers. */
 export interface PoolRates {
-  /** Servers: sequences that all engines of the pool decode at once. */
+  /** Number of servers: sequences that all engines of the pool decode at once. */
   readonly servers: number;
-  /** Arrivals of interactive work, per second. */
+  /** Arrivals of interactive calls per second. */
   readonly arrivalsPerSecond: number;
-  /** Interactive work that one server ends per second. */
+  /** Interactive calls that one server completes per second. */
   readonly servedPerSecond: number;
 }
 
-/** Probability of states, from the threshold upwards. */
-interface Stationary {
-  /** Mean wait of interactive work, in milliseconds. */
+/** Result of the stationary queueing model. */
+interface WaitEstimate {
+  /** Mean wait of interactive calls, in milliseconds. */
   readonly meanWaitMs: number;
 }
 
 const TAIL_LIMIT = 1e-9;
 
 /**
- * Returns up to how many busy servers batch work may start, so that
- * interactive work waits no longer than an aim on average. The largest
- * threshold that keeps the aim is the best one.
+ * Returns the maximum number of busy servers at which batch work may start, so
+ * that the mean wait of interactive calls stays within a limit. The largest
+ * threshold that satisfies the limit is the best one.
  *
  * Source: Gans and Zhou, "A call-routing problem with service-level
  * constraints", 2003, section 3.4: with a simple threshold i, states below i
- * are transient and the pool is an M/M/c queue cut off below i. It assumes
- * equal mean times of both kinds of work, and an unlimited backlog.
+ * are transient and the pool is an M/M/c queue truncated below i. The model
+ * assumes equal mean service times of both kinds of work and an unlimited
+ * backlog of batch work.
  *
- * @param rates Measured rates.
- * @param aimMs Longest mean wait, in milliseconds.
+ * @param rates Size and rates of the pool.
+ * @param maxMeanWaitMs Maximum mean wait, in milliseconds.
  * @returns A threshold from 0 to the number of servers.
  */
-export function computeThreshold(rates: PoolRates, aimMs: number): number {
+export function computeThreshold(
+  rates: PoolRates,
+  maxMeanWaitMs: number,
+): number {
   const { servers } = rates;
   const load = rates.arrivalsPerSecond / rates.servedPerSecond;
   if (!(load < servers)) return 0;
@@ -39,17 +43,17 @@
     (_, index) => servers - index,
   );
   return thresholds.find((threshold) =>
-    computeWait(rates, threshold).meanWaitMs <= aimMs
+    computeWait(rates, threshold).meanWaitMs <= maxMeanWaitMs
   ) ?? 0;
 }
 
 /**
- * Returns the mean wait of interactive work under a threshold.
+ * Returns the mean wait of interactive calls under a threshold.
  *
- * @param rates Measured rates.
- * @param threshold Busy servers up to which batch work starts.
+ * @param rates Size and rates of the pool.
+ * @param threshold Maximum number of busy servers at which batch work starts.
  */
-export function computeWait(rates: PoolRates, threshold: number): Stationary {
+export function computeWait(rates: PoolRates, threshold: number): WaitEstimate {
   const { servers, arrivalsPerSecond, servedPerSecond } = rates;
   let weight = 1;
   let total = 1;
@@ -60,7 +64,7 @@
     waiting += Math.max(0, state - servers) * weight;
     if (state > servers && weight < TAIL_LIMIT * total) break;
   }
-  // Little's law: mean number waiting over the arrival rate.
+  // Little's law: the mean wait is the mean number of waiting calls over the arrival rate.
   const meanWaitMs = arrivalsPerSecond === 0
     ? 0
     : (waiting / total / arrivalsPerSecond) * 1_000;
--- a/bench/plot_data.ts
+++ b/bench/plot_data.ts
@@ -1,21 +1,22 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { createPlotPage, type Plot } from "../load/mod.ts";
 
-/** Draws the figures that `docs/CAPACITY.md` rests on: `npm run plots`. */
-const DATA = new URL("../../docs/data/bench.jsonl", import.meta.url);
-const PAGE = new URL("../../docs/data/plots.html", import.meta.url);
+// `npm run plots` draws the figures on which `docs/CAPACITY.md` is based.
+const BENCH_RESULTS = new URL("../../docs/data/bench.jsonl", import.meta.url);
+const PLOT_PAGE = new URL("../../docs/data/plots.html", import.meta.url);
 
 type Figures = Readonly<Record<string, number>>;
 
 const benches = new Map(
-  readFileSync(DATA, "utf8").split("\n").filter((line) => line !== "").map(
-    (line) => {
-      const { bench, ...figures } = JSON.parse(line) as {
-        readonly bench: string;
-      } & Figures;
-      return [bench, figures as Figures];
-    },
-  ),
+  readFileSync(BENCH_RESULTS, "utf8").split("\n").filter((line) => line !== "")
+    .map(
+      (line) => {
+        const { bench, ...figures } = JSON.parse(line) as {
+          readonly bench: string;
+        } & Figures;
+        return [bench, figures as Figures];
+      },
+    ),
 );
 
 const plots: readonly Plot[] = [
@@ -26,12 +27,14 @@
     66,
     132,
   ], {
-    "mean": (size) => read("membership", `sent_mean_${toShape(size)}`),
-    "most": (size) => read("membership", `sent_max_${toShape(size)}`),
+    "mean": (size) =>
+      readFigure("membership", `sent_mean_${toFleetShape(size)}`),
+    "most": (size) =>
+      readFigure("membership", `sent_max_${toFleetShape(size)}`),
   }),
   createPlot("Peer bytes for each change and daemon", "daemons", [9, 27, 60], {
     "bytes": (size) =>
-      read(
+      readFigure(
         "config",
         `calm${size === 9 ? "" : `_${size}_daemons`}_bytes_per_change`,
       ),
@@ -46,8 +49,8 @@
       100,
     ],
     {
-      "heap MB": (share) => read("control", `heapMegabytes_9_${share}`),
-      "apply ms": (share) => read("control", `applyMs_9_${share}`),
+      "heap MB": (share) => readFigure("control", `heapMegabytes_9_${share}`),
+      "apply ms": (share) => readFigure("control", `applyMs_9_${share}`),
     },
   ),
   createPlot(
@@ -56,16 +59,16 @@
     [60, 120, 240],
     {
       "a key for each run": (rate) =>
-        read("journal", `key_per_run_${rate}_9_writes`),
+        readFigure("journal", `key_per_run_${rate}_9_writes`),
       "4 shards, 2 ms, keys with home": (rate) =>
-        read(
+        readFigure(
           "journal",
           `4_shards_2_ms_3_regions_keys_with_home_${rate}_9_writes`,
         ),
     },
   ),
   createPlot("Decision, microseconds", "engines", [8, 123, 400], {
-    "us": (count) => read("subset", `decision_us_${count}`),
+    "us": (count) => readFigure("subset", `decision_us_${count}`),
   }),
   createPlot("Processor time of a call, microseconds", "tokens", [
     8,
@@ -73,11 +76,11 @@
     256,
     512,
   ], {
-    "us": (tokens) => read("overhead", `cpu_us_per_call_of_${tokens}`),
+    "us": (tokens) => readFigure("overhead", `cpu_us_per_call_of_${tokens}`),
   }),
 ];
 writeFileSync(
-  PAGE,
+  PLOT_PAGE,
   createPlotPage("havenspur: slopes behind docs/CAPACITY.md", plots),
 );
 
@@ -87,23 +90,25 @@
   x: readonly number[],
   series: Readonly<Record<string, (x: number) => number>>,
 ): Plot {
-  const drawn = Object.entries(series).map(([label, toValue]) => ({
+  const plotted = Object.entries(series).map(([label, toValue]) => ({
     label,
     values: x.map(toValue),
   }));
-  return { title, x, xLabel, series: drawn };
+  return { title, x, xLabel, series: plotted };
 }
 
-function read(bench: string, figure: string): number {
+function readFigure(bench: string, figure: string): number {
   const value = benches.get(bench)?.[figure];
   if (value === undefined) {
-    throw new Error(`Cannot draw: ${bench} has no figure ${figure}`);
+    throw new Error(
+      `Cannot plot: bench.jsonl has no result of ${bench} with the figure ${figure}`,
+    );
   }
   return value;
 }
 
-/** Regions and daemons of each, for the sizes of the membership benchmark. */
-function toShape(size: number): string {
+/** Returns regions x daemons per region for a fleet size of the membership benchmark. */
+function toFleetShape(size: number): string {
   const shapes: Readonly<Record<number, string>> = {
     9: "3x3",
     27: "3x9",
--- a/bench/virtual_engine.ts
+++ b/bench/virtual_engine.ts
@@ -7,10 +7,10 @@
   type ServerClient,
 } from "../forwarding/mod.ts";
 
-/** Header that carries a prompt in these benchmarks, as JSON. */
-const PROMPT = "x-prompt";
+/** Request header that carries the prompt as JSON in these benchmarks. */
+const PROMPT_HEADER = "x-prompt";
 
-/** Reads calls whose prompts stand in a header. */
+/** Reads calls whose prompts are in a header. */
 export const PROMPT_GRAMMAR: CallGrammar = {
   ...OWN_GRAMMAR,
   readCall: (headers) => ({
@@ -19,55 +19,57 @@
   }),
 };
 
-/** Returns the header of a prompt. */
+/** Returns name and value of the header that carries a prompt. */
 export function encodePrompt(prompt: PromptFacts): readonly string[] {
-  return [PROMPT, JSON.stringify(prompt)];
+  return [PROMPT_HEADER, JSON.stringify(prompt)];
 }
 
-/** How fast an engine is and how much it takes. */
+/** Speed and capacity of an engine. */
 export interface VirtualEngineParts {
   readonly clock: Clock;
-  /** Sequences that run at a time. */
+  /** Maximum number of sequences that run at the same time. */
   readonly slots: number;
-  /** Calls that wait beside them. */
+  /** Maximum number of calls that wait for a slot. */
   readonly queue: number;
-  /** Time of a step, and what each running sequence adds, in milliseconds. */
+  /** Base duration of a decoding step, in milliseconds. */
   readonly stepMs: number;
+  /** Time that each running sequence adds to a step, in milliseconds. */
   readonly stepMsPerSequence: number;
+  /** Prefill speed, in prompt tokens per millisecond. */
   readonly tokensReadPerMs: number;
-  /** Tokens of one prompt that are read between two steps. */
+  /** Maximum number of tokens of one prompt that a step prefills. */
   readonly chunkTokens: number;
-  /** Tokens of prompts that are kept after their calls. */
+  /** Capacity of the prefix cache, in tokens. */
   readonly cacheTokens: number;
-  /** Tokens of one event. */
+  /** Tokens that one event stands for. */
   readonly eventTokens: number;
 }
 
 interface Sequence {
   readonly events: SendEvents;
   readonly parts: readonly { readonly id: string; readonly tokens: number }[];
-  unreadTokens: number;
-  tokensLeft: number;
-  made: number;
+  prefillTokens: number;
+  remainingTokens: number;
+  generatedTokens: number;
   isAborted: boolean;
 }
 
-/** Head of an answer of an engine that takes a call. */
-const TAKEN = {
+/** Head of the answer to an accepted call. */
+const ACCEPTED_HEAD = {
   status: 200,
   statusText: "OK",
   headers: [],
 };
-/** Head of an answer of one that has no room. */
-const SHED = {
+/** Head of the answer of an engine without capacity. */
+const OVERLOADED_HEAD = {
   status: 503,
   statusText: "Service Unavailable",
   headers: ["x-not-run", "1"],
 };
 
-/** A model engine in continuous batches, on a virtual clock. */
+/** Model engine with continuous batching, on a virtual clock. */
 export class VirtualEngine {
-  /** Tokens of prompts read so far. */
+  /** Number of prompt tokens prefilled so far. */
   readTokens = 0;
   readonly #parts: VirtualEngineParts;
   readonly #cache = new Map<string, number>();
@@ -76,32 +78,32 @@
   #cachedTokens = 0;
   #isStepping = false;
 
-  /** @param parts Its speed and sizes. */
+  /** @param parts Speed and capacity of the engine. */
   constructor(parts: VirtualEngineParts) {
     this.#parts = parts;
   }
 
-  /** Calls that it has. */
+  /** Number of running and waiting calls. */
   get calls(): number {
     return this.#running.length + this.#waiting.length;
   }
 
-  /** Takes a call, or sheds it. */
+  /** Accepts a call, or refuses it if all slots and the queue are full. */
   send: ServerClient["send"] = ({ headers }, events) => {
     const prompt = readPrompt(headers);
     const sequence: Sequence = {
       events,
       parts: prompt.parts,
-      unreadTokens: 0,
-      tokensLeft: prompt.maxOutputTokens,
-      made: 0,
+      prefillTokens: 0,
+      remainingTokens: prompt.maxOutputTokens,
+      generatedTokens: 0,
       isAborted: false,
     };
     const { clock, queue, slots } = this.#parts;
     const isFull = this.calls >= slots + queue;
     clock.schedule(0, () => {
       if (!isFull) return;
-      events.onHead(SHED);
+      events.onHead(OVERLOADED_HEAD);
       events.onEnd([]);
     });
     if (!isFull) {
@@ -119,60 +121,65 @@
     this.#isStepping = true;
     const { chunkTokens, clock, stepMs, stepMsPerSequence, tokensReadPerMs } =
       this.#parts;
-    const reading = this.#running.find(({ unreadTokens }) => unreadTokens > 0);
-    const chunk = Math.min(chunkTokens, reading?.unreadTokens ?? 0);
+    const prefilling = this.#running.find(({ prefillTokens }) =>
+      prefillTokens > 0
+    );
+    const chunkLength = Math.min(chunkTokens, prefilling?.prefillTokens ?? 0);
     const durationMs = stepMs + stepMsPerSequence * this.#running.length +
-      chunk / tokensReadPerMs;
-    clock.schedule(durationMs, () => this.#endStep(reading, chunk));
+      chunkLength / tokensReadPerMs;
+    clock.schedule(durationMs, () => this.#endStep(prefilling, chunkLength));
   }
 
-  #endStep(reading: Sequence | undefined, chunk: number): void {
+  #endStep(prefilling: Sequence | undefined, chunkLength: number): void {
     this.#isStepping = false;
-    if (reading !== undefined) {
-      reading.unreadTokens -= chunk;
-      this.readTokens += chunk;
-      if (reading.unreadTokens <= 0) this.#keep(reading);
+    if (prefilling !== undefined) {
+      prefilling.prefillTokens -= chunkLength;
+      this.readTokens += chunkLength;
+      if (prefilling.prefillTokens <= 0) this.#cacheParts(prefilling);
     }
-    this.#running.filter(({ isAborted, unreadTokens }) =>
-      unreadTokens <= 0 && !isAborted
-    ).forEach((sequence) => this.#makeToken(sequence));
-    this.#running = this.#running.filter(({ tokensLeft }) => tokensLeft > 0);
+    this.#running.filter(({ isAborted, prefillTokens }) =>
+      prefillTokens <= 0 && !isAborted
+    ).forEach((sequence) => this.#generateToken(sequence));
+    this.#running = this.#running.filter(({ remainingTokens }) =>
+      remainingTokens > 0
+    );
     this.#startStep();
   }
 
-  #makeToken(sequence: Sequence): void {
-    if (sequence.made === 0) sequence.events.onHead(TAKEN);
-    const isDue = sequence.made++ % this.#parts.eventTokens === 0;
-    if (isDue) {
-      const text = `id: ${sequence.made}\ndata: x\n\n`;
+  #generateToken(sequence: Sequence): void {
+    if (sequence.generatedTokens === 0) sequence.events.onHead(ACCEPTED_HEAD);
+    const isEventDue =
+      sequence.generatedTokens++ % this.#parts.eventTokens === 0;
+    if (isEventDue) {
+      const text = `id: ${sequence.generatedTokens}\ndata: x\n\n`;
       sequence.events.onData(Buffer.from(text));
     }
-    if (--sequence.tokensLeft === 0) sequence.events.onEnd([]);
+    if (--sequence.remainingTokens === 0) sequence.events.onEnd([]);
   }
 
   #admit(): void {
     while (this.#running.length < this.#parts.slots) {
       const next = this.#waiting.shift();
       if (next === undefined) return;
-      next.unreadTokens = this.#countUnread(next);
+      next.prefillTokens = this.#countPrefillTokens(next);
       this.#running.push(next);
     }
   }
 
   #dropAborted(): void {
-    const stays = ({ isAborted }: Sequence) => !isAborted;
-    this.#running = this.#running.filter(stays);
-    this.#waiting = this.#waiting.filter(stays);
+    const isActive = ({ isAborted }: Sequence) => !isAborted;
+    this.#running = this.#running.filter(isActive);
+    this.#waiting = this.#waiting.filter(isActive);
   }
 
-  #countUnread({ parts }: Sequence): number {
-    const firstUnread = parts.findIndex(({ id }) => !this.#cache.has(id));
-    const unread = firstUnread < 0 ? [] : parts.slice(firstUnread);
-    return Math.max(1, unread.reduce((sum, { tokens }) => sum + tokens, 0));
+  #countPrefillTokens({ parts }: Sequence): number {
+    const firstUncached = parts.findIndex(({ id }) => !this.#cache.has(id));
+    const uncached = firstUncached < 0 ? [] : parts.slice(firstUncached);
+    return Math.max(1, uncached.reduce((sum, { tokens }) => sum + tokens, 0));
   }
 
-  /** Keeps the parts of a prompt; the least recently used yield. */
-  #keep({ parts }: Sequence): void {
+  /** Caches the parts of a prompt and evicts the least recently used ones. */
+  #cacheParts({ parts }: Sequence): void {
     parts.forEach(({ id, tokens }) => {
       this.#cachedTokens += this.#cache.delete(id) ? 0 : tokens;
       this.#cache.set(id, tokens);
@@ -186,5 +193,5 @@
 }
 
 function readPrompt(headers: readonly string[]): PromptFacts {
-  return JSON.parse(headers[headers.indexOf(PROMPT) + 1]!);
+  return JSON.parse(headers[headers.indexOf(PROMPT_HEADER) + 1]!);
 }
