--- a/bench/overhead_bench.ts
+++ b/bench/overhead_bench.ts
@@ -12,18 +12,19 @@
 );
 const ROUNDS = 3;
 const ROUND_MS = 2_000;
-const RATES = [100, 250, 500, 1_000];
+const CALLS_PER_SECOND = [100, 250, 500, 1_000];
 const TOKENS = 8;
 const TOKEN_SIZES = [8, 64, 256, 512];
-const TOKEN_RATE = 100;
+const TOKEN_CALLS_PER_SECOND = 100;
 const OPEN_STREAMS = 1_000;
-/** A stream of this length is held open by the small server. */
-const HELD_TOKENS = 100_001;
+/** The instant backend server holds streams of this length open. */
+const OPEN_STREAM_TOKENS = 100_001;
 
 /**
- * Measures what a daemon adds: the same calls straight to a small server and
- * through a daemon, in turns inside one run. The server and the load have a
- * thread each; the daemon shares this one with eight idle ones.
+ * Measures the latency and processor time that a daemon adds to a call. Rounds
+ * of the same calls alternate within one run: directly to an instant backend
+ * server, and through a daemon. The server and the load generator each run in a
+ * thread of their own; the daemon shares this thread with eight idle daemons.
  */
 export async function runOverheadBench(): Promise<BenchResult> {
   const backend = new Worker(new URL("./instant_backend.js", import.meta.url));
@@ -60,43 +61,51 @@
   const load = new Worker(new URL("./load_worker.js", import.meta.url));
   const round = { url, rate: 200, durationMs: ROUND_MS, tokens: TOKENS };
   await runRound(load, round);
-  for (const rate of RATES) {
-    const direct = createHistogram();
-    const through = createHistogram();
+  for (const rate of CALLS_PER_SECOND) {
+    const directLatencies = createHistogram();
+    const proxiedLatencies = createHistogram();
     let activeMs = 0;
     for (let count = 0; count < ROUNDS; count++) {
-      const idle = performance.eventLoopUtilization();
-      await runRound(load, { ...round, url: backendUrl, rate }, direct);
-      const middle = performance.eventLoopUtilization(idle);
-      const start = performance.eventLoopUtilization();
-      await runRound(load, { ...round, rate }, through);
-      const end = performance.eventLoopUtilization(start);
-      activeMs += end.active - middle.active;
+      const directStart = performance.eventLoopUtilization();
+      await runRound(
+        load,
+        { ...round, url: backendUrl, rate },
+        directLatencies,
+      );
+      const directUse = performance.eventLoopUtilization(directStart);
+      const proxiedStart = performance.eventLoopUtilization();
+      await runRound(load, { ...round, rate }, proxiedLatencies);
+      const proxiedUse = performance.eventLoopUtilization(proxiedStart);
+      activeMs += proxiedUse.active - directUse.active;
     }
     const cpuMicros = activeMs * 1_000;
     const calls = rate * ROUNDS * (ROUND_MS / 1_000);
-    const added = (share: number) =>
-      (through.getValueAtPercentile(share) -
-        direct.getValueAtPercentile(share)) / 1_000;
+    const computeAddedMs = (share: number) =>
+      (proxiedLatencies.getValueAtPercentile(share) -
+        directLatencies.getValueAtPercentile(share)) / 1_000;
     rows.push([
       String(rate),
-      toCell(direct.getValueAtPercentile(50) / 1_000, 2),
-      toCell(through.getValueAtPercentile(50) / 1_000, 2),
-      toCell(added(50), 2),
-      toCell(added(99), 2),
+      toCell(directLatencies.getValueAtPercentile(50) / 1_000, 2),
+      toCell(proxiedLatencies.getValueAtPercentile(50) / 1_000, 2),
+      toCell(computeAddedMs(50), 2),
+      toCell(computeAddedMs(99), 2),
       toCell(cpuMicros / calls, 0),
       toCell(1_000_000 / (cpuMicros / calls), 0),
     ]);
-    figures[`added_p50_ms_${rate}`] = added(50);
-    figures[`added_p99_ms_${rate}`] = added(99);
+    figures[`added_p50_ms_${rate}`] = computeAddedMs(50);
+    figures[`added_p99_ms_${rate}`] = computeAddedMs(99);
     figures[`cpu_us_per_call_${rate}`] = cpuMicros / calls;
-    figures[`p50_ratio_${rate}`] = through.getValueAtPercentile(50) /
-      direct.getValueAtPercentile(50);
+    figures[`p50_ratio_${rate}`] = proxiedLatencies.getValueAtPercentile(50) /
+      directLatencies.getValueAtPercentile(50);
   }
-  const sizes = await measureTokens(load, { ...round, url, rate: TOKEN_RATE });
-  sizes.forEach(([tokens, micros]) => {
+  const microsByTokens = await measureBusyMicros(load, {
+    ...round,
+    url,
+    rate: TOKEN_CALLS_PER_SECOND,
+  });
+  microsByTokens.forEach(([tokens, micros]) => {
     rows.push([
-      `${TOKEN_RATE} of ${tokens} tokens`,
+      `${TOKEN_CALLS_PER_SECOND} of ${tokens} tokens`,
       "-",
       "-",
       "-",
@@ -106,8 +115,8 @@
     ]);
     figures[`cpu_us_per_call_of_${tokens}`] = micros;
   });
-  const memory = await measureStreams(url, daemon.gateway);
-  figures.kilobytes_per_stream = memory;
+  const streamKilobytes = await measureStreamKilobytes(url, daemon.gateway);
+  figures.kilobytes_per_stream = streamKilobytes;
   await load.terminate();
   await deployment.stop();
   await backend.terminate();
@@ -115,7 +124,7 @@
     head: [
       "CALLS /S",
       "DIRECT P50 MS",
-      "THROUGH P50 MS",
+      "VIA DAEMON P50 MS",
       "ADDED P50 MS",
       "ADDED P99 MS",
       "CPU US PER CALL",
@@ -124,11 +133,11 @@
     rows,
     figures,
     notes: [
-      `streams of ${TOKENS} tokens; CPU: time that the daemon's thread is busy, less that of a direct round`,
-      `memory of one open stream at ${OPEN_STREAMS}: ${
-        memory.toFixed(1)
+      `streams of ${TOKENS} tokens; CPU: busy time of the daemon's thread minus that of a direct round`,
+      `memory of each of ${OPEN_STREAMS} open streams: ${
+        streamKilobytes.toFixed(1)
       } KB of heap and buffers, ` +
-      "caller's end included",
+      "including the caller's side",
     ],
   };
 }
@@ -140,7 +149,7 @@
   });
 }
 
-/** Has the load thread run a round, and records its latencies. */
+/** Runs a round in the load thread and records its latencies. */
 async function runRound(
   load: Worker,
   round: LoadRound,
@@ -151,32 +160,35 @@
   latencies.forEach((latency) => histogram?.recordValue(latency));
 }
 
-/** Time that the daemon's thread is busy for a call, by its tokens, less its idle time. */
-async function measureTokens(
+/**
+ * Returns the busy time of the daemon's thread per call in microseconds, by the
+ * tokens of a call and without the busy time of an idle daemon.
+ */
+async function measureBusyMicros(
   load: Worker,
   round: LoadRound,
 ): Promise<readonly (readonly [tokens: number, micros: number])[]> {
   const idleStart = performance.eventLoopUtilization();
   await new Promise((resolve) => setTimeout(resolve, ROUND_MS));
   const idle = performance.eventLoopUtilization(idleStart).active;
-  const found: (readonly [number, number])[] = [];
+  const results: (readonly [number, number])[] = [];
   for (const tokens of TOKEN_SIZES) {
     const start = performance.eventLoopUtilization();
     await runRound(load, { ...round, tokens });
     const active = performance.eventLoopUtilization(start).active - idle;
-    found.push([tokens, active * 1_000 / (round.rate * ROUND_MS / 1_000)]);
+    results.push([tokens, active * 1_000 / (round.rate * ROUND_MS / 1_000)]);
   }
-  return found;
+  return results;
 }
 
-async function measureStreams(
+async function measureStreamKilobytes(
   url: string,
   gateway: { readonly inFlight: number },
 ): Promise<number> {
   globalThis.gc?.();
   const before = process.memoryUsage();
-  const ended = new AbortController();
-  setMaxListeners(0, ended.signal);
+  const streamEnd = new AbortController();
+  setMaxListeners(0, streamEnd.signal);
   const streamAgent = new Agent({ connections: OPEN_STREAMS });
   const open = Array.from(
     { length: OPEN_STREAMS },
@@ -190,15 +202,15 @@
         body: JSON.stringify({
           model: "barista-8b",
           stream: true,
-          // The small server holds a stream of this length open.
-          max_tokens: HELD_TOKENS,
+          // The instant backend server holds a stream of this length open.
+          max_tokens: OPEN_STREAM_TOKENS,
           messages: [{ role: "user", content: "hold" }],
         }),
         dispatcher: streamAgent,
-        signal: ended.signal,
+        signal: streamEnd.signal,
       }).then(async ({ body }) => {
         for await (const _ of body) {
-          // It is read until it is ended.
+          // Reads the stream until it is aborted.
         }
       }).catch(() => {}),
   );
@@ -208,7 +220,7 @@
   await new Promise((resolve) => setTimeout(resolve, 1_000));
   globalThis.gc?.();
   const after = process.memoryUsage();
-  ended.abort();
+  streamEnd.abort();
   await Promise.all(open);
   await streamAgent.destroy();
   const bytes = after.heapUsed + after.external - before.heapUsed -
--- a/bench/overload_bench.ts
+++ b/bench/overload_bench.ts
@@ -9,13 +9,13 @@
 } from "./traffic.ts";
 
 const DURATION_MS = 30_000;
-/** Calls a second that the pool of the benchmark answers in time, found by this benchmark. */
-const CAPACITY = 30;
+/** Calls per second that the pool of this benchmark answers within the deadline. */
+const CAPACITY_PER_SECOND = 30;
 const LOADS = [0.5, 1, 2, 10];
 const TEAMS = 4;
 const DEADLINE_MS = 6_000;
 
-/** Measures admission: goodput, tails and refusals at up to ten times the capacity. */
+/** Measures goodput, tail latency and refusals of admission at up to ten times the capacity. */
 export async function runOverloadBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
@@ -23,7 +23,7 @@
     const name = admitsAll ? "admit all" : "havenspur";
     const goodputs: number[] = [];
     for (const load of LOADS) {
-      const run = await runOne(load, admitsAll);
+      const run = await runAtLoad(load, admitsAll);
       goodputs.push(run.all.goodput);
       const share = run.all.goodput / Math.max(...goodputs);
       rows.push([
@@ -54,18 +54,18 @@
       "TTFT P99",
       "REFUSAL P50 MS",
       "REFUSED %",
-      "LEAST/MEAN TEAM",
+      "MIN/MEAN TEAM",
     ],
     rows,
     figures,
     notes: [
-      `${TEAMS} teams, one with half of all calls; deadline ${DEADLINE_MS} ms; a third is batch`,
-      "fairness: goodput of the team that got least over the mean of all",
+      `${TEAMS} teams, one of which sends half of all calls; deadline ${DEADLINE_MS} ms; a third of the calls is batch`,
+      "min/mean team: complete interactive answers, minimum of the teams over their mean",
     ],
   };
 }
 
-async function runOne(load: number, admitsAll: boolean) {
+async function runAtLoad(load: number, admitsAll: boolean) {
   const fleet = new FakeFleet({ regions: ["r1"], policies: { admitsAll } });
   await fleet.clock.advance(3_000);
   await declareFleet(fleet, {
@@ -75,7 +75,7 @@
   const random = createRandom(11);
   const arrivals = createSteadyArrivals({
     random,
-    rate: CAPACITY * load,
+    rate: CAPACITY_PER_SECOND * load,
     daemons: 3,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
@@ -97,31 +97,32 @@
   const interactive = results.filter(({ arrival }) =>
     arrival.priority === "interactive"
   );
-  const refusals = results.filter(({ code }) => code === 1202).map((
+  const refusalTimesMs = results.filter(({ code }) => code === 1202).map((
     { totalMs },
   ) => totalMs)
     .sort((a, b) => a - b);
-  const goodOf = (team: string) =>
+  const countComplete = (team: string) =>
     interactive.filter(({ arrival, isWhole }) =>
       arrival.team === team && isWhole
     ).length;
   const teams = Array.from(
     { length: TEAMS },
-    (_, index) => goodOf(`team-${index}`),
+    (_, index) => countComplete(`team-${index}`),
   );
-  const ran = [...fleet.backend.engines.values()].reduce(
+  const runCount = [...fleet.backend.engines.values()].reduce(
     (sum, { runs }) => sum + runs.length,
     0,
   );
-  const notRun =
+  const notRunCount =
     results.filter(({ code }) => code >= 1_200 && code < 1_300).length;
   return {
     all,
     interactive: summarizeTraffic(interactive, DURATION_MS),
-    refusalP50: refusals[Math.floor(refusals.length / 2)] ?? 0,
+    refusalP50: refusalTimesMs[Math.floor(refusalTimesMs.length / 2)] ?? 0,
     fairness: Math.min(...teams) /
       (teams.reduce((sum, count) => sum + count, 0) / TEAMS),
-    // Every call is either run by an engine or refused as not run: more than all is a lie.
-    falseNotRun: Math.max(0, ran + notRun - results.length),
+    // Each call either runs on an engine or is refused as not run. A sum above the number of
+    // calls means that a call was refused as not run although an engine ran it.
+    falseNotRun: Math.max(0, runCount + notRunCount - results.length),
   };
 }
--- a/bench/reports_bench.ts
+++ b/bench/reports_bench.ts
@@ -6,47 +6,58 @@
 
 const REGIONS = ["north", "south", "west"] as const;
 const PER_REGION = [3, 6, 12, 24, 65] as const;
-const WARM_MS = 5_000;
+const WARMUP_MS = 5_000;
 const RUN_MS = 6_000;
 
-interface Measured {
-  /** Bytes that one instance sends to its region, on average, a second. */
-  readonly nearPerSecond: number;
-  /** Bytes between regions, of all instances together, a second. */
-  readonly farPerSecond: number;
+interface ReportTraffic {
+  /** Mean bytes per second that one instance sends to its own region. */
+  readonly localBytesPerSecond: number;
+  /** Bytes per second between regions, of all instances together. */
+  readonly remoteBytesPerSecond: number;
 }
 
-/** Measures what instances tell each other, by their number: repeats exactly. */
+/**
+ * Measures the bytes of reports between instances, by the number of instances.
+ * It runs on a virtual clock, so that the figures repeat exactly.
+ */
 export async function runReportsBench(): Promise<BenchResult> {
-  const measured: Measured[] = [];
+  const measured: ReportTraffic[] = [];
   for (const perRegion of PER_REGION) {
     measured.push(await measureReports(perRegion));
   }
-  const at = (perRegion: number) =>
+  const findTraffic = (perRegion: number) =>
     measured[PER_REGION.findIndex((each) => each === perRegion)]!;
   return {
-    head: ["INSTANCES A REGION", "OWN REGION B/S EACH", "BETWEEN REGIONS B/S"],
-    rows: measured.map(({ nearPerSecond, farPerSecond }, at) => [
-      String(PER_REGION[at]),
-      toCell(nearPerSecond, 0),
-      toCell(farPerSecond, 0),
+    head: [
+      "INSTANCES PER REGION",
+      "OWN REGION B/S EACH",
+      "BETWEEN REGIONS B/S",
+    ],
+    rows: measured.map((
+      { localBytesPerSecond, remoteBytesPerSecond },
+      index,
+    ) => [
+      String(PER_REGION[index]),
+      toCell(localBytesPerSecond, 0),
+      toCell(remoteBytesPerSecond, 0),
     ]),
     figures: {
-      near_24: at(24).nearPerSecond,
-      near_65: at(65).nearPerSecond,
-      far_24: at(24).farPerSecond,
-      far_65: at(65).farPerSecond,
-      far_growth: at(24).farPerSecond / at(3).farPerSecond,
+      near_24: findTraffic(24).localBytesPerSecond,
+      near_65: findTraffic(65).localBytesPerSecond,
+      far_24: findTraffic(24).remoteBytesPerSecond,
+      far_65: findTraffic(65).remoteBytesPerSecond,
+      far_growth: findTraffic(24).remoteBytesPerSecond /
+        findTraffic(3).remoteBytesPerSecond,
     },
   };
 }
 
-async function measureReports(perRegion: number): Promise<Measured> {
+async function measureReports(perRegion: number): Promise<ReportTraffic> {
   const clock = new VirtualClock();
   const gateways = new Map<string, HttpGateway>();
-  const ends: AbortController[] = [];
-  let nearBytes = 0;
-  let farBytes = 0;
+  const controllers: AbortController[] = [];
+  let localBytes = 0;
+  let remoteBytes = 0;
   const addresses = REGIONS.flatMap((region) =>
     Array.from({ length: perRegion }, (_, at) => `${region}-${at}`)
   );
@@ -59,26 +70,26 @@
         const encode = isCompressed ? compressReport : encodeReport;
         const { length } = encode(report);
         to.forEach((other, at) => {
-          if (other.startsWith(`${region}-`)) nearBytes += length;
-          else farBytes += length;
+          if (other.startsWith(`${region}-`)) localBytes += length;
+          else remoteBytes += length;
           const echo = echoes?.[at] ?? 0;
           gateways.get(other)?.receiveReport({ ...report, echo }, address);
         });
       },
     });
     gateways.set(address, gateway);
-    const end = new AbortController();
-    ends.push(end);
-    gateway.start(end.signal);
+    const controller = new AbortController();
+    controllers.push(controller);
+    gateway.start(controller.signal);
   });
-  await clock.advance(WARM_MS);
-  nearBytes = 0;
-  farBytes = 0;
+  await clock.advance(WARMUP_MS);
+  localBytes = 0;
+  remoteBytes = 0;
   await clock.advance(RUN_MS);
-  ends.forEach((end) => end.abort("measured"));
+  controllers.forEach((controller) => controller.abort("measured"));
   const seconds = RUN_MS / 1_000;
   return {
-    nearPerSecond: nearBytes / seconds / addresses.length,
-    farPerSecond: farBytes / seconds,
+    localBytesPerSecond: localBytes / seconds / addresses.length,
+    remoteBytesPerSecond: remoteBytes / seconds,
   };
 }
--- a/bench/retries_bench.ts
+++ b/bench/retries_bench.ts
@@ -10,11 +10,13 @@
 } from "./traffic.ts";
 
 const DURATION_MS = 30_000;
-const RATE = 20;
+const CALLS_PER_SECOND = 20;
 
-/** Measures retries and the ejection of engines that fail. */
+/** Measures retries, and the ejection of failing engines. */
 export async function runRetriesBench(): Promise<BenchResult> {
-  const always: Policies = { decideRetry: ({ attempts }) => attempts < 3 };
+  const threeAttempts: Policies = {
+    decideRetry: ({ attempts }) => attempts < 3,
+  };
   const cases:
     readonly (readonly [string, string, number, number, Policies])[] = [
       ["one of 8 fails", "no retries", 1, 1, {
@@ -23,15 +25,15 @@
       }],
       ["one of 8 fails", "havenspur", 1, 1, {}],
       ["one of 8 fails half", "havenspur", 1, 0.5, {}],
-      ["all fail", "always 3 tries", 8, 1, always],
+      ["all fail", "always 3 tries", 8, 1, threeAttempts],
       ["all fail", "havenspur", 8, 1, {}],
-      ["all fail half", "always 3 tries", 8, 0.5, always],
+      ["all fail half", "always 3 tries", 8, 0.5, threeAttempts],
       ["all fail half", "havenspur", 8, 0.5, {}],
     ];
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
-  for (const [fault, name, count, share, policies] of cases) {
-    const run = await runOne(count, share, policies);
+  for (const [fault, name, failingCount, failShare, policies] of cases) {
+    const run = await runFault(failingCount, failShare, policies);
     rows.push([
       fault,
       name,
@@ -48,21 +50,25 @@
     rows,
     figures,
     notes: [
-      "aims: one failing engine under 1% errors; all failing at most 1.1 attempts per call",
+      "aims: under 1% errors with one failing engine; at most 1.1 attempts per call if all fail",
     ],
   };
 }
 
-async function runOne(count: number, share: number, policies: Policies) {
+async function runFault(
+  failingCount: number,
+  failShare: number,
+  policies: Policies,
+) {
   const fleet = new FakeFleet({ regions: ["r1"], policies });
   await fleet.clock.advance(3_000);
   await declareFleet(fleet, { engines: [{ region: "r1", fresh: 8, old: 0 }] });
-  [...fleet.backend.engines.values()].slice(0, count)
-    .forEach((engine) => (engine.failShare = share));
+  [...fleet.backend.engines.values()].slice(0, failingCount)
+    .forEach((engine) => (engine.failShare = failShare));
   const random = createRandom(9);
   const arrivals = createSteadyArrivals({
     random,
-    rate: RATE,
+    rate: CALLS_PER_SECOND,
     daemons: 3,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
--- a/bench/routing_bench.ts
+++ b/bench/routing_bench.ts
@@ -13,12 +13,12 @@
 } from "./traffic.ts";
 
 const DURATION_MS = 40_000;
-const RATE = 30;
+const CALLS_PER_SECOND = 30;
 const SESSIONS = 120;
-/** Price of a second of an old engine; a new one costs 1. */
-const OLD_PRICE = 0.4;
+/** Price of a busy second of an old engine; one of a new engine costs 1. */
+const OLD_ENGINE_PRICE = 0.4;
 
-type Pick = NonNullable<Policies["pickEngine"]>;
+type PickEngine = NonNullable<Policies["pickEngine"]>;
 
 function listUsable(
   { engines, excluded }: PickRequest,
@@ -28,14 +28,19 @@
   );
 }
 
-/** Returns the plain policies that the product's choice is measured against. */
-export function createBaselines(): Readonly<Record<string, Pick | undefined>> {
-  let turn = 0;
+/**
+ * Returns the policies to compare: simple baselines, and undefined for the
+ * gateway's own choice.
+ */
+export function createPolicies(): Readonly<
+  Record<string, PickEngine | undefined>
+> {
+  let nextIndex = 0;
   return {
     "random": (request) => pickRandom(listUsable(request), request.random),
     "round robin": (request) => {
       const usable = listUsable(request);
-      return usable[turn++ % usable.length];
+      return usable[nextIndex++ % usable.length];
     },
     "least reported": (request) =>
       listUsable(request).toSorted((a, b) =>
@@ -58,15 +63,15 @@
   };
 }
 
-/** Measures the choice of an engine: old and new hardware, shared prefixes, lagging reports. */
+/** Measures the choice of engines among old and new hardware, with shared prefixes and delayed reports. */
 export async function runRoutingBench(): Promise<BenchResult> {
   const figures: Record<string, number> = {};
   const rows: string[][] = [];
-  for (const [name, pickEngine] of Object.entries(createBaselines())) {
+  for (const [name, pickEngine] of Object.entries(createPolicies())) {
     const weights = name.includes("cost")
       ? { latency: 1, cost: 3 }
       : { latency: 1, cost: 0 };
-    const { summary, hitShare, cost } = await runOne(pickEngine, weights);
+    const { summary, hitShare, cost } = await runPolicy(pickEngine, weights);
     const key = name.replaceAll(" ", "_");
     figures[`${key}_p95`] = summary.firstTokenP95;
     figures[`${key}_p99`] = summary.firstTokenP99;
@@ -81,9 +86,9 @@
       toCell(cost, 3),
     ]);
   }
-  const others = ["random", "round_robin", "least_reported", "prefix_hash"];
+  const baselines = ["random", "round_robin", "least_reported", "prefix_hash"];
   figures.p95_over_best_baseline = figures.havenspur_p95! /
-    Math.min(...others.map((name) => figures[`${name}_p95`]!));
+    Math.min(...baselines.map((name) => figures[`${name}_p95`]!));
   return {
     head: [
       "POLICY",
@@ -97,13 +102,13 @@
     rows,
     figures,
     notes: [
-      `${RATE} calls a second over 3 daemons, 4 new and 4 old engines, ${SESSIONS} sessions`,
+      `${CALLS_PER_SECOND} calls per second over 3 daemons, 4 new and 4 old engines, ${SESSIONS} sessions`,
     ],
   };
 }
 
-async function runOne(
-  pickEngine: Pick | undefined,
+async function runPolicy(
+  pickEngine: PickEngine | undefined,
   weights: { readonly latency: number; readonly cost: number },
 ): Promise<
   {
@@ -124,7 +129,7 @@
   const random = createRandom(42);
   const arrivals = createSteadyArrivals({
     random,
-    rate: RATE,
+    rate: CALLS_PER_SECOND,
     daemons: 3,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
@@ -149,14 +154,14 @@
     0,
   );
   const hits = counts.reduce((sum, { cacheHits }) => sum + cacheHits, 0);
-  const spent = counts.reduce(
+  const totalCost = counts.reduce(
     (sum, { busyMs }, index) =>
-      sum + busyMs / 1_000 * (index < 4 ? 1 : OLD_PRICE),
+      sum + busyMs / 1_000 * (index < 4 ? 1 : OLD_ENGINE_PRICE),
     0,
   );
   return {
     summary: summarizeTraffic(results, DURATION_MS),
     hitShare: hits / lookups,
-    cost: spent / results.length,
+    cost: totalCost / results.length,
   };
 }
