--- a/bench/membership_bench.ts
+++ b/bench/membership_bench.ts
@@ -1,12 +1,12 @@
 import { FakeFleet } from "../standin/mod.ts";
 import { type BenchResult, toCell } from "./bench_case.ts";
 
-const WARM_MS = 5_000;
+const WARMUP_MS = 5_000;
 const RUN_MS = 30_000;
 const STEP_MS = 50;
-const LONGEST_MS = 20_000;
+const MAX_WAIT_MS = 20_000;
 
-/** Sizes: regions, daemons of each. */
+/** Fleet sizes: number of regions, daemons per region. */
 const SIZES: readonly (readonly [number, number])[] = [
   [3, 3],
   [3, 9],
@@ -15,12 +15,12 @@
   [22, 6],
 ];
 
-/** Measures membership: bytes, and how fast the dead and the leaving are known. */
+/** Measures heartbeat traffic of membership, and the time until dead and leaving daemons are known. */
 export async function runMembershipBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
   for (const [regions, perRegion] of SIZES) {
-    const run = await runOne(regions, perRegion);
+    const run = await measureFleet(regions, perRegion);
     const size = regions * perRegion;
     rows.push([
       `${regions} x ${perRegion}`,
@@ -30,7 +30,7 @@
       toCell(run.deadMs, 0),
       toCell(run.leavingMs, 0),
       String(run.flaps),
-      toCell(run.joinedMs, 0),
+      toCell(run.rejoinedMs, 0),
       toCell(run.cpuMicros, 0),
     ]);
     figures[`sent_mean_${regions}x${perRegion}`] = run.sentMean;
@@ -39,7 +39,7 @@
     figures[`dead_ms_${regions}x${perRegion}`] = run.deadMs;
     figures[`leaving_ms_${regions}x${perRegion}`] = run.leavingMs;
     figures[`flaps_${regions}x${perRegion}`] = run.flaps;
-    figures[`joined_ms_${regions}x${perRegion}`] = run.joinedMs;
+    figures[`joined_ms_${regions}x${perRegion}`] = run.rejoinedMs;
     figures[`cpu_us_per_s_${size}`] = run.cpuMicros;
   }
   return {
@@ -51,24 +51,24 @@
       "DEAD KNOWN MS",
       "LEAVING KNOWN MS",
       "FLAPS AT 5% LOSS",
-      "JOINED AGAIN MS",
+      "REJOINED MS",
       "CPU US PER DAEMON AND S",
     ],
     rows,
     figures,
     notes: [
-      "bytes with the headers of IP and UDP; dead and leaving: known by every daemon of the region",
-      "joined again: a region cut in two for 10 s, until every member counts every other as live",
+      "bytes include IP and UDP headers; dead, leaving: time until each daemon of the region knows",
+      "rejoined: time after a region was split for 10 s until each member considers every other live",
     ],
   };
 }
 
-async function runOne(regions: number, perRegion: number) {
+async function measureFleet(regions: number, perRegion: number) {
   const fleet = new FakeFleet({
     regions: Array.from({ length: regions }, (_, index) => `r${index + 1}`),
     daemonsPerRegion: perRegion,
   });
-  await fleet.clock.advance(WARM_MS);
+  await fleet.clock.advance(WARMUP_MS);
   fleet.network.counts.clear();
   const startCpu = process.cpuUsage();
   await fleet.clock.advance(RUN_MS);
@@ -79,9 +79,9 @@
     receivedBytes / (RUN_MS / 1_000)
   );
   const flaps = await countFlaps(fleet);
-  const leavingMs = await measureLeaving(fleet);
-  const deadMs = await measureDeath(fleet);
-  const joinedMs = await measureSplit(fleet);
+  const leavingMs = await measureLeavingMs(fleet);
+  const deadMs = await measureDeathMs(fleet);
+  const rejoinedMs = await measureRejoinMs(fleet);
   fleet.stop();
   return {
     sentMean: sent.reduce((sum, value) => sum + value, 0) / sent.length,
@@ -90,13 +90,13 @@
     flaps,
     deadMs,
     leavingMs,
-    joinedMs,
+    rejoinedMs,
     cpuMicros: (cpu.user + cpu.system) / (RUN_MS / 1_000) /
       fleet.daemons.length,
   };
 }
 
-/** Counts live daemons that any other held for dead, over two minutes with losses. */
+/** Counts how often a daemon considers a live one dead, over two minutes with 5% packet loss. */
 async function countFlaps(fleet: FakeFleet): Promise<number> {
   fleet.network.lossShare = 0.05;
   let flaps = 0;
@@ -118,37 +118,46 @@
   return flaps;
 }
 
-async function measureLeaving(fleet: FakeFleet): Promise<number> {
+/** Returns the time until no peer considers a daemon live after it starts to shut down gracefully, in milliseconds. */
+async function measureLeavingMs(fleet: FakeFleet): Promise<number> {
   const leaving = fleet.daemons[1]!;
   void leaving.gateway.leave(new AbortController().signal);
-  return await measureUntil(
+  return await measureWaitMs(
     fleet,
     () =>
-      readPeers(fleet, leaving.record.id).every((status) => status !== "live"),
+      listStatusesAtPeers(fleet, leaving.record.id).every((status) =>
+        status !== "live"
+      ),
   );
 }
 
-async function measureDeath(fleet: FakeFleet): Promise<number> {
-  const victim = fleet.daemons[2]!;
-  fleet.kill(victim);
-  return await measureUntil(
+/** Returns the time until each peer considers a killed daemon dead, in milliseconds. */
+async function measureDeathMs(fleet: FakeFleet): Promise<number> {
+  const killed = fleet.daemons[2]!;
+  fleet.kill(killed);
+  return await measureWaitMs(
     fleet,
     () =>
-      readPeers(fleet, victim.record.id).every((status) => status === "dead"),
+      listStatusesAtPeers(fleet, killed.record.id).every((status) =>
+        status === "dead"
+      ),
   );
 }
 
-/** Cuts the last region in two, and joins it again. */
-async function measureSplit(fleet: FakeFleet): Promise<number> {
+/**
+ * Splits the last region in two for 10 s and returns the time after that until
+ * its members consider each other live, in milliseconds.
+ */
+async function measureRejoinMs(fleet: FakeFleet): Promise<number> {
   const { region } = fleet.daemons.at(-1)!.record;
   const members = fleet.daemons.filter(({ record }) =>
     record.region === region
   );
-  const half = members.slice(0, Math.floor(members.length / 2));
-  half.forEach(({ record }) => fleet.network.silent.add(record.id));
+  const cutOff = members.slice(0, Math.floor(members.length / 2));
+  cutOff.forEach(({ record }) => fleet.network.silent.add(record.id));
   await fleet.clock.advance(10_000);
   fleet.network.silent.clear();
-  return await measureUntil(
+  return await measureWaitMs(
     fleet,
     () =>
       members.every(({ gateway }) =>
@@ -157,7 +166,7 @@
   );
 }
 
-function readPeers(fleet: FakeFleet, id: string): readonly string[] {
+function listStatusesAtPeers(fleet: FakeFleet, id: string): readonly string[] {
   const { region } =
     fleet.daemons.find(({ record }) => record.id === id)!.record;
   return fleet.daemons
@@ -170,13 +179,13 @@
     );
 }
 
-async function measureUntil(
+async function measureWaitMs(
   fleet: FakeFleet,
   isReached: () => boolean,
 ): Promise<number> {
-  for (let passedMs = 0; passedMs < LONGEST_MS; passedMs += STEP_MS) {
+  for (let passedMs = 0; passedMs < MAX_WAIT_MS; passedMs += STEP_MS) {
     if (isReached()) return passedMs;
     await fleet.clock.advance(STEP_MS);
   }
-  return LONGEST_MS;
+  return MAX_WAIT_MS;
 }
--- a/bench/shares_fleet.ts
+++ b/bench/shares_fleet.ts
@@ -5,16 +5,16 @@
   LimitFleetParts,
 } from "./limit_fleet.ts";
 
-/** An equal share each, in debt by one call at the most. */
+/** Fleet with an equal share of the limit per instance, which overdraws it by one call at most. */
 export class SharesFleet implements LimitFleet {
   readonly sent = 0;
-  readonly #count: number;
+  readonly #instanceCount: number;
   readonly #buckets: { tokens: number; atMs: number }[];
   #limit: TeamLimit;
 
-  /** @param parts Size. */
+  /** @param parts Size and limit of the fleet. */
   constructor({ instances, limit }: LimitFleetParts) {
-    this.#count = instances;
+    this.#instanceCount = instances;
     this.#limit = limit;
     this.#buckets = Array.from({ length: instances }, () => ({
       tokens: limit.burst / instances,
@@ -25,8 +25,12 @@
   admit({ atMs, instance, weight }: LimitArrival): boolean {
     const bucket = this.#buckets[instance]!;
     const { burst, perSecond } = this.#limit;
-    const filled = perSecond * (atMs - bucket.atMs) / 1_000 / this.#count;
-    bucket.tokens = Math.min(burst / this.#count, bucket.tokens + filled);
+    const refill = perSecond * (atMs - bucket.atMs) / 1_000 /
+      this.#instanceCount;
+    bucket.tokens = Math.min(
+      burst / this.#instanceCount,
+      bucket.tokens + refill,
+    );
     bucket.atMs = atMs;
     if (bucket.tokens <= 0) return false;
     bucket.tokens -= weight;
@@ -37,7 +41,7 @@
 
   restart(instance: number, nowMs: number): void {
     this.#buckets[instance] = {
-      tokens: this.#limit.burst / this.#count,
+      tokens: this.#limit.burst / this.#instanceCount,
       atMs: nowMs,
     };
   }
--- a/bench/soak_bench.ts
+++ b/bench/soak_bench.ts
@@ -7,12 +7,12 @@
 const EXAMPLE = fileURLToPath(
   new URL("../../examples/torra-nordeste", import.meta.url),
 );
-const MINUTES = 5;
-const RATE = 40;
+const DURATION_MINUTES = 5;
+const CALLS_PER_SECOND = 40;
 const SAMPLE_MS = 15_000;
-const WARM_SAMPLES = 4;
+const WARMUP_SAMPLES = 4;
 
-/** Measures memory over five minutes of load on nine daemons in one process. */
+/** Measures heap memory over five minutes of load on nine daemons in one process. */
 export async function runSoakBench(): Promise<BenchResult> {
   const deployment = await startDeployment(EXAMPLE);
   const urls = deployment.daemons.map(({ record }) => record.callerUrl);
@@ -34,8 +34,8 @@
   }, SAMPLE_MS);
   const scenario = SCENARIO_SCHEMA.parse({
     seed: 5,
-    duration_s: MINUTES * 60,
-    arrivals: { kind: "poisson", rate: RATE },
+    duration_s: DURATION_MINUTES * 60,
+    arrivals: { kind: "poisson", rate: CALLS_PER_SECOND },
     teams: [{ token: "app-token-example-0001" }],
     mix: [
       {
@@ -62,25 +62,26 @@
   clearInterval(timer);
   const report = createLoadReport(calls, scenario.duration_s);
   await deployment.stop();
-  const warm = samples.slice(WARM_SAMPLES);
-  const half = Math.floor(warm.length / 2);
+  const warmSamples = samples.slice(WARMUP_SAMPLES);
+  const half = Math.floor(warmSamples.length / 2);
   const mean = (values: readonly number[]) =>
     values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
-  const growth = mean(warm.slice(half)) / mean(warm.slice(0, half));
+  const growth = mean(warmSamples.slice(half)) /
+    mean(warmSamples.slice(0, half));
   return {
     head: ["MINUTE", "HEAP MB"],
     rows: samples.map((
       value,
-      at,
-    ) => [toCell((at + 1) * SAMPLE_MS / 60_000, 2), toCell(value)]),
+      index,
+    ) => [toCell((index + 1) * SAMPLE_MS / 60_000, 2), toCell(value)]),
     figures: {
       calls: report.calls,
       not_whole: report.notWhole,
       heap_second_half_over_first: growth,
     },
     notes: [
-      `${RATE} calls a second on nine daemons, stand-ins and load in one process; the load tool ` +
-      "keeps its results, and the stand-ins their runs, in the same heap",
+      `${CALLS_PER_SECOND} calls per second; nine daemons, stand-ins and load generator share one process, so that ` +
+      "the heap also holds the results of the load generator and the runs of the stand-ins",
     ],
   };
 }
--- a/bench/spill_bench.ts
+++ b/bench/spill_bench.ts
@@ -12,47 +12,50 @@
 } from "./traffic.ts";
 
 const DURATION_MS = 40_000;
-const BASE_RATE = 5;
+const BASE_CALLS_PER_SECOND = 5;
 const REGIONS = ["r1", "r2", "r3"];
 
-/** A run of the benchmark. */
+/** Load and faults of a run of the benchmark. */
 interface Scenario {
   readonly name: string;
-  /** Calls per second of a region at a time. */
-  readonly rateOf: (region: number, atMs: number) => number;
-  /** Faults at their times. */
-  readonly schedule: (fleet: FakeFleet) => void;
+  /** Returns the factor on the base rate of calls of a region at a time. */
+  readonly readRateFactor: (region: number, atMs: number) => number;
+  /** Schedules the faults of the run. */
+  readonly scheduleFaults: (fleet: FakeFleet) => void;
 }
 
 const SCENARIOS: readonly Scenario[] = [
   {
     name: "rush",
-    rateOf: (region, atMs) =>
+    readRateFactor: (region, atMs) =>
       region === 0 && atMs > 8_000 && atMs < 30_000 ? 5 : 1,
-    schedule: () => {},
+    scheduleFaults: () => {},
   },
   {
     name: "capacity loss",
-    rateOf: () => 1.4,
-    schedule: (fleet) => {
-      const lost = [...fleet.backend.engines.values()].filter(({ region }) =>
+    readRateFactor: () => 1.4,
+    scheduleFaults: (fleet) => {
+      const engines = [...fleet.backend.engines.values()].filter(({ region }) =>
         region === "r1"
       );
-      fleet.clock.schedule(10_000, () =>
-        lost.slice(0, 3).forEach((engine) => {
-          engine.isDown = true;
-          engine.core.reset();
-        }));
+      fleet.clock.schedule(
+        10_000,
+        () =>
+          engines.slice(0, 3).forEach((engine) => {
+            engine.isDown = true;
+            engine.core.reset();
+          }),
+      );
       fleet.clock.schedule(
         28_000,
-        () => lost.forEach((engine) => (engine.isDown = false)),
+        () => engines.forEach((engine) => (engine.isDown = false)),
       );
     },
   },
   {
     name: "partition",
-    rateOf: (region) => region === 0 ? 2.5 : 1,
-    schedule: (fleet) => {
+    readRateFactor: (region) => region === 0 ? 2.5 : 1,
+    scheduleFaults: (fleet) => {
       fleet.clock.schedule(12_000, () => {
         fleet.cutOff("r1");
       });
@@ -63,24 +66,27 @@
   },
   {
     name: "shifted peaks",
-    rateOf: (region, atMs) =>
+    readRateFactor: (region, atMs) =>
       2 +
       1.8 *
         Math.sin((2 * Math.PI * atMs) / 20_000 + (2 * Math.PI * region) / 3),
-    schedule: () => {},
+    scheduleFaults: () => {},
   },
 ];
 
-/** Measures home against away: rush, lost capacity, partition, peaks at different hours. */
+/**
+ * Measures the choice between home and remote regions under a rush, a loss of
+ * capacity, a partition, and peaks at different times.
+ */
 export async function runSpillBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
   for (const scenario of SCENARIOS) {
-    const oracle = await runOne(scenario, "least");
-    const homeOnly = await runOne(scenario, "home");
-    const own = await runOne(scenario, "own");
+    const leastLoaded = await runScenario(scenario, "least");
+    const homeOnly = await runScenario(scenario, "home");
+    const own = await runScenario(scenario, "own");
     const key = scenario.name.replaceAll(" ", "_");
-    const add = (name: string, summary: TrafficSummary) =>
+    const addRow = (name: string, summary: TrafficSummary) =>
       rows.push([
         scenario.name,
         name,
@@ -91,13 +97,13 @@
         toCell(summary.refusedShare * 100),
         toCell(summary.brokenShare * 100),
       ]);
-    add("home only", homeOnly);
-    add("global least loaded", oracle);
-    add("havenspur", own);
+    addRow("home only", homeOnly);
+    addRow("global least loaded", leastLoaded);
+    addRow("havenspur", own);
     figures[`${key}_p95_over_least`] = own.firstTokenP95 /
-      Math.max(1, oracle.firstTokenP95);
+      Math.max(1, leastLoaded.firstTokenP95);
     figures[`${key}_away_over_least`] = own.awayShare /
-      Math.max(0.001, oracle.awayShare);
+      Math.max(0.001, leastLoaded.awayShare);
     figures[`${key}_p95_over_home`] = own.firstTokenP95 /
       Math.max(1, homeOnly.firstTokenP95);
   }
@@ -115,19 +121,21 @@
     rows,
     figures,
     notes: [
-      "global least loaded reads the true load of every engine, without lag or credit",
-      "aim: p95 within 1.1 of it, with under a third of its share sent away",
+      "global least loaded reads the current load of each engine, without delay and without credits",
+      "aim: p95 at most 1.1 times that of global least loaded, with less than a third of its share sent away",
     ],
   };
 }
 
-async function runOne(
+async function runScenario(
   scenario: Scenario,
   policy: "home" | "least" | "own",
 ): Promise<TrafficSummary> {
-  const holder: { fleet?: FakeFleet } = {};
-  const fleet = new FakeFleet({ policies: createPolicies(policy, holder) });
-  holder.fleet = fleet;
+  const fleetHolder: { fleet?: FakeFleet } = {};
+  const fleet = new FakeFleet({
+    policies: createPolicies(policy, fleetHolder),
+  });
+  fleetHolder.fleet = fleet;
   await fleet.clock.advance(3_000);
   await declareFleet(fleet, {
     engines: REGIONS.map((region) => ({ region, fresh: 3, old: 1 })),
@@ -136,8 +144,9 @@
   const arrivals = createArrivals({
     random,
     rateAt: (atMs, daemon) =>
-      BASE_RATE / 3 * 1.5 * scenario.rateOf(Math.floor(daemon / 3), atMs),
-    peakRate: BASE_RATE / 3 * 1.5 * 5,
+      BASE_CALLS_PER_SECOND / 3 * 1.5 *
+      scenario.readRateFactor(Math.floor(daemon / 3), atMs),
+    peakRate: BASE_CALLS_PER_SECOND / 3 * 1.5 * 5,
     daemons: 9,
     durationMs: DURATION_MS,
     create: (atMs, daemon) => ({
@@ -154,7 +163,7 @@
       model: FLEET_MODEL,
     }),
   });
-  scenario.schedule(fleet);
+  scenario.scheduleFaults(fleet);
   const results = await runTraffic(fleet, arrivals);
   fleet.stop();
   return summarizeTraffic(results, DURATION_MS);
@@ -162,7 +171,7 @@
 
 function createPolicies(
   policy: "home" | "least" | "own",
-  holder: { readonly fleet?: FakeFleet },
+  fleetHolder: { readonly fleet?: FakeFleet },
 ): Policies {
   switch (policy) {
     case "own":
@@ -173,15 +182,18 @@
       return {
         ignoresCredits: true,
         decideRegion: ({ homeMs, options }) => {
-          const loadOf = (region: string) => readLoad(holder.fleet!, region);
+          const readRegionLoad = (region: string) =>
+            computeMeanLoad(fleetHolder.fleet!, region);
           const home = REGIONS.find((region) =>
             options.every((option) => option.region !== region)
           );
-          const best =
-            options.map(({ region }) => ({ region, load: loadOf(region) }))
-              .sort((a, b) => a.load - b.load)[0];
+          const best = options.map(({ region }) => ({
+            region,
+            load: readRegionLoad(region),
+          }))
+            .sort((a, b) => a.load - b.load)[0];
           const isHomeBest = best === undefined || homeMs !== undefined &&
-              loadOf(home ?? "") <= best.load;
+              readRegionLoad(home ?? "") <= best.load;
           return isHomeBest
             ? { kind: "home" }
             : { kind: "away", region: toRegionId(best!.region) };
@@ -190,7 +202,7 @@
   }
 }
 
-function readLoad(fleet: FakeFleet, region: string): number {
+function computeMeanLoad(fleet: FakeFleet, region: string): number {
   const engines = [...fleet.backend.engines.values()]
     .filter((engine) => engine.region === region && !engine.isDown);
   if (engines.length === 0) return Infinity;
--- a/bench/subset_bench.ts
+++ b/bench/subset_bench.ts
@@ -10,11 +10,11 @@
 import { EngineCore, NEW_ENGINE } from "../standin/mod.ts";
 import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
 
-const ENGINES = 400;
-const RATE = 1_500;
+const ENGINE_COUNT = 400;
+const CALLS_PER_SECOND = 1_500;
 const DURATION_MS = 12_000;
-const WARM_MS = 3_000;
-const SIZE = {
+const WARMUP_MS = 3_000;
+const CALL_SIZE = {
   promptTokens: 300,
   outputTokens: 40,
   prefix: undefined,
@@ -29,11 +29,14 @@
   | "subset of 64, sampled"
   | "subset of 64, own reports";
 
-/** Measures many daemons before one large pool, and the time of a decision. */
+/**
+ * Measures queues and latency when many daemons dispatch to one large pool, and
+ * the time that a decision takes.
+ */
 export async function runSubsetBench(): Promise<BenchResult> {
   const rows: string[][] = [];
   const figures: Record<string, number> = {};
-  for (const deciders of [30, 50]) {
+  for (const dispatcherCount of [30, 50]) {
     const policies: readonly Policy[] = [
       "omniscient",
       "all, least reported",
@@ -42,22 +45,22 @@
       "subset of 64, own reports",
     ];
     for (const policy of policies) {
-      const run = runOne(deciders, policy);
+      const run = runPolicy(dispatcherCount, policy);
       rows.push([
-        String(deciders),
+        String(dispatcherCount),
         policy,
         String(run.maxQueue),
         toCell(run.p95, 0),
         toCell(run.p99, 0),
         toCell(run.decisionMicros, 2),
       ]);
-      const key = `${policy.replaceAll(/[^a-z0-9]+/g, "_")}_${deciders}`;
+      const key = `${policy.replaceAll(/[^a-z0-9]+/g, "_")}_${dispatcherCount}`;
       figures[`${key}_max_queue`] = run.maxQueue;
       figures[`${key}_p95`] = run.p95;
       figures[`${key}_decision_us`] = run.decisionMicros;
     }
   }
-  const times = [8, 123, 400].map((count) => measureDecision(count));
+  const times = [8, 123, 400].map((count) => measureDecisionMicros(count));
   [8, 123, 400].forEach((count, index) => {
     rows.push([
       "1",
@@ -71,9 +74,9 @@
   });
   return await Promise.resolve({
     head: [
-      "DECIDERS",
+      "DISPATCHERS",
       "POLICY",
-      "MOST IN ONE ENGINE",
+      "MAX IN ONE ENGINE",
       "TTFT P95 MS",
       "P99",
       "DECISION US",
@@ -81,24 +84,27 @@
     rows,
     figures,
     notes: [
-      `${ENGINES} engines, ${RATE} calls a second, each engine polled by two daemons a second; ` +
-      "pure decisions on a virtual clock",
+      `${ENGINE_COUNT} engines, ${CALLS_PER_SECOND} calls per second, each engine polled by two daemons per second; ` +
+      "decisions alone, on a virtual clock",
     ],
   });
 }
 
-function runOne(deciderCount: number, policy: Policy) {
+function runPolicy(dispatcherCount: number, policy: Policy) {
   const clock = new VirtualClock();
   const random = createRandom(31);
   const servers = Array.from(
-    { length: ENGINES },
+    { length: ENGINE_COUNT },
     (_, index) => createServer(index),
   );
   const cores = new Map(
     servers.map(({ id }) => [id, new EngineCore(clock, NEW_ENGINE)]),
   );
-  const names = Array.from({ length: deciderCount }, (_, index) => `d${index}`);
-  const deciders = names.map((self) => {
+  const names = Array.from(
+    { length: dispatcherCount },
+    (_, index) => `d${index}`,
+  );
+  const dispatchers = names.map((self) => {
     const ids = policy.startsWith("subset")
       ? pickSubset(servers.map(({ id }) => id), {
         daemons: names,
@@ -113,23 +119,26 @@
     return {
       self,
       models,
-      sharing: Math.max(1, (deciderCount * models.length) / ENGINES),
+      dispatchersPerEngine: Math.max(
+        1,
+        (dispatcherCount * models.length) / ENGINE_COUNT,
+      ),
     };
   });
   const observers = new Map(
     servers.map(({ id }) => [id, pickObservers(id, names, 2)]),
   );
-  // What the two observers of an engine poll goes to the others with the next digest.
+  // Two observers poll each engine; the other daemons get its load with the next digest.
   for (let atMs = 0; atMs < DURATION_MS; atMs += 1_000) {
     clock.schedule(
       atMs + 50,
       () =>
-        deciders.forEach(({ models, self }) =>
+        dispatchers.forEach(({ models, self }) =>
           models.forEach((model) => {
             const isObserver = observers.get(model.server.id)!.includes(self);
             const isOwnOnly = policy === "subset of 64, own reports";
             if (isOwnOnly && !isObserver) return;
-            // Two polls a second for the 16 engines that a daemon observes.
+            // A daemon observes 16 engines and polls two of them per second.
             if (
               isOwnOnly &&
               (Number(model.server.id.slice(1)) + atMs / 1_000) % 8 !== 0
@@ -150,29 +159,34 @@
   let decisions = 0;
   let sequence = 0;
   const arrive = () => {
-    const decider = deciders[Math.floor(random.nextFloat() * deciders.length)]!;
+    const dispatcher =
+      dispatchers[Math.floor(random.nextFloat() * dispatchers.length)]!;
     const startMs = clock.nowMs();
     const before = performance.now();
-    const engine = choose(policy, decider, { cores, nowMs: startMs, random });
+    const engine = chooseEngine(policy, dispatcher, {
+      cores,
+      nowMs: startMs,
+      random,
+    });
     decisionMs += performance.now() - before;
     decisions++;
     const attempt = toAttemptId(String(sequence++));
-    engine.recordDispatch(attempt, SIZE, startMs);
+    engine.recordDispatch(attempt, CALL_SIZE, startMs);
     const core = cores.get(engine.server.id)!;
     clock.schedule(1, () => {
-      // Each answer carries a report, too.
+      // Each answer carries a load report as well.
       engine.applyReport(core.readLoad(), clock.nowMs());
       core.submit({
         id: attempt,
-        promptTokens: SIZE.promptTokens,
+        promptTokens: CALL_SIZE.promptTokens,
         prefix: undefined,
         prefixTokens: 0,
-        outputTokens: SIZE.outputTokens,
+        outputTokens: CALL_SIZE.outputTokens,
         rank: 0,
         onToken: (index) => {
           if (index > 0) return;
           engine.recordFirstToken(attempt, clock.nowMs());
-          if (startMs > 1_000_000 + WARM_MS) {
+          if (startMs > 1_000_000 + WARMUP_MS) {
             firstTokens.push(clock.nowMs() - startMs);
           }
         },
@@ -183,11 +197,14 @@
             clock.nowMs(),
           ),
       });
-      if (startMs > 1_000_000 + WARM_MS) {
+      if (startMs > 1_000_000 + WARMUP_MS) {
         maxQueue = Math.max(maxQueue, core.inSystem);
       }
     });
-    clock.schedule((-Math.log(1 - random.nextFloat()) / RATE) * 1_000, arrive);
+    clock.schedule(
+      (-Math.log(1 - random.nextFloat()) / CALLS_PER_SECOND) * 1_000,
+      arrive,
+    );
   };
   clock.schedule(100, arrive);
   clock.advanceSync(DURATION_MS);
@@ -199,40 +216,43 @@
   };
 }
 
-function choose(
+function chooseEngine(
   policy: Policy,
-  decider: {
+  dispatcher: {
     readonly models: readonly EngineModel[];
-    readonly sharing: number;
+    readonly dispatchersPerEngine: number;
   },
-  world: {
+  context: {
     readonly cores: ReadonlyMap<string, EngineCore>;
     readonly nowMs: number;
     readonly random: ReturnType<typeof createRandom>;
   },
 ): EngineModel {
-  const { models, sharing } = decider;
-  const { cores, nowMs, random } = world;
+  const { models, dispatchersPerEngine } = dispatcher;
+  const { cores, nowMs, random } = context;
   switch (policy) {
     case "omniscient":
-      return pickLeast(models, (model) => cores.get(model.server.id)!.inSystem);
+      return pickMinimum(
+        models,
+        (model) => cores.get(model.server.id)!.inSystem,
+      );
     case "all, least reported":
-      return pickLeast(models, (model) => model.estimateInSystem(0, nowMs));
+      return pickMinimum(models, (model) => model.estimateInSystem(0, nowMs));
     case "all, sampled":
     case "subset of 64, sampled":
     case "subset of 64, own reports":
       return pickEngine({
         engines: models,
-        size: SIZE,
+        size: CALL_SIZE,
         weights: WEIGHTS,
-        deciders: sharing,
+        deciders: dispatchersPerEngine,
         nowMs,
         random,
       })!;
   }
 }
 
-function pickLeast(
+function pickMinimum(
   models: readonly EngineModel[],
   measure: (model: EngineModel) => number,
 ): EngineModel {
@@ -241,8 +261,8 @@
   );
 }
 
-/** Mean time of a decision over a pool, in microseconds. */
-function measureDecision(count: number): number {
+/** Returns the mean time of a decision over a pool, in microseconds. */
+function measureDecisionMicros(count: number): number {
   const random = createRandom(1);
   const models = Array.from(
     { length: count },
@@ -259,7 +279,11 @@
     for (let round = 0; round < rounds; round++) {
       pickEngine({
         engines: models,
-        size: { ...SIZE, prefix: `session-${round % 50}`, prefixTokens: 200 },
+        size: {
+          ...CALL_SIZE,
+          prefix: `session-${round % 50}`,
+          prefixTokens: 200,
+        },
         weights: WEIGHTS,
         deciders: 10,
         nowMs: 10_100,
--- a/bench/sums_fleet.ts
+++ b/bench/sums_fleet.ts
@@ -15,44 +15,47 @@
   REGIONS,
 } from "./limit_fleet.ts";
 
-/** Time until news of the own region are known, and of another one, in milliseconds. */
-const NEAR_AGE_MS = 300;
-const FAR_AGE_MS = 600;
-const HEARD_MS = 1_200;
-const FAR_HEARD_MS = 2_500;
+/** Time until a report of the local region is known, in milliseconds. */
+const LOCAL_REPORT_DELAY_MS = 300;
+/** Time until a report of a remote region is known, in milliseconds. */
+const REMOTE_REPORT_DELAY_MS = 600;
+/** Silence after which an instance of the local region counts as dead, in milliseconds. */
+const LOCAL_TIMEOUT_MS = 1_200;
+/** Silence after which an instance of a remote region counts as dead, in milliseconds. */
+const REMOTE_TIMEOUT_MS = 2_500;
 
-interface Told {
+interface SentReport {
   readonly atMs: number;
-  readonly use: ReportedUse | undefined;
+  readonly usage: ReportedUse | undefined;
 }
 
-/** Sums that instances tell each other: the way that is built. */
+/** Fleet whose instances report sums of usage to each other, as the gateway does. */
 export class SumsFleet implements LimitFleet {
   sent = 0;
   readonly #parts: LimitFleetParts;
   readonly #instances: {
     limits: FleetLimits;
-    readonly heardMs: number[];
-    /** Who is taken as running since the last tick. */
+    readonly lastReceivedMs: number[];
+    /** Instances that count as live since the last tick. */
     live: ReadonlySet<number>;
   }[];
-  /** What each instance told, newest last. */
-  readonly #told: Told[][];
+  /** Reports that each instance sent, newest last. */
+  readonly #sentReports: SentReport[][];
   #limit: TeamLimit;
   #nowMs = 0;
 
-  /** @param parts Size, and who hears whom. */
+  /** @param parts Size of the fleet, and which instances receive each other's reports. */
   constructor(parts: LimitFleetParts) {
     this.#parts = parts;
     this.#limit = parts.limit;
     const indices = Array.from({ length: parts.instances }, (_, at) => at);
-    this.#told = indices.map(() => []);
+    this.#sentReports = indices.map(() => []);
     this.#instances = indices.map((at) => ({
-      limits: this.#create(at, -60_000),
-      heardMs: indices.map(() => 0),
+      limits: this.#createLimits(at, -60_000),
+      lastReceivedMs: indices.map(() => 0),
       live: new Set<number>(),
     }));
-    indices.forEach((at) => this.#count(at, 0));
+    indices.forEach((at) => this.#updateCounts(at, 0));
   }
 
   admit({ atMs, instance, weight }: LimitArrival): boolean {
@@ -71,27 +74,27 @@
     this.#nowMs = nowMs;
     this.#instances.forEach(({ limits }, at) => {
       if (this.#parts.isFrozen(at, nowMs)) return;
-      const [use] = limits.listOwn(nowMs);
-      if (use !== undefined) this.sent++;
-      this.#told[at]!.push({ atMs: nowMs, use });
-      if (this.#told[at]!.length > 40) this.#told[at]!.shift();
+      const [usage] = limits.listOwn(nowMs);
+      if (usage !== undefined) this.sent++;
+      this.#sentReports[at]!.push({ atMs: nowMs, usage });
+      if (this.#sentReports[at]!.length > 40) this.#sentReports[at]!.shift();
     });
     this.#instances.forEach((_, at) => {
-      if (!this.#parts.isFrozen(at, nowMs)) this.#count(at, nowMs);
+      if (!this.#parts.isFrozen(at, nowMs)) this.#updateCounts(at, nowMs);
     });
   }
 
   restart(instance: number, nowMs: number): void {
-    this.#instances[instance]!.limits = this.#create(instance, nowMs);
-    this.#told[instance] = [];
-    this.#count(instance, nowMs);
+    this.#instances[instance]!.limits = this.#createLimits(instance, nowMs);
+    this.#sentReports[instance] = [];
+    this.#updateCounts(instance, nowMs);
   }
 
   setLimit(limit: TeamLimit): void {
     this.#limit = limit;
   }
 
-  #create(instance: number, startedMs: number): FleetLimits {
+  #createLimits(instance: number, startedMs: number): FleetLimits {
     return new FleetLimits({
       ownRegion: REGIONS[readRegion(instance)]!,
       startedMs,
@@ -101,64 +104,68 @@
     });
   }
 
-  #count(instance: number, nowMs: number): void {
-    const known = this.#instances[instance]!;
-    const { heardMs, limits } = known;
+  #updateCounts(instance: number, nowMs: number): void {
+    const state = this.#instances[instance]!;
+    const { lastReceivedMs, limits } = state;
     const live = new Set<number>();
     const counts = REGIONS.map((region): RegionCount => ({
       region,
       known: 0,
       heard: 0,
     })) as { region: RegionCount["region"]; known: number; heard: number }[];
-    heardMs.forEach((lastMs, other) => {
-      const isNear = readRegion(other) === readRegion(instance);
-      const isHeard = other === instance ||
+    lastReceivedMs.forEach((receivedMs, other) => {
+      const isLocal = readRegion(other) === readRegion(instance);
+      const isReachable = other === instance ||
         (this.#parts.isHeard(other, instance, nowMs) &&
           !this.#parts.isFrozen(other, nowMs));
-      if (isHeard) heardMs[other] = nowMs;
+      if (isReachable) lastReceivedMs[other] = nowMs;
       const count = counts[readRegion(other)]!;
       count.known++;
-      const silentMs = nowMs - (isHeard ? nowMs : lastMs);
-      if (silentMs >= (isNear ? HEARD_MS : FAR_HEARD_MS)) return;
+      const silentMs = nowMs - (isReachable ? nowMs : receivedMs);
+      if (silentMs >= (isLocal ? LOCAL_TIMEOUT_MS : REMOTE_TIMEOUT_MS)) return;
       count.heard++;
       live.add(other);
     });
-    known.live = live;
+    state.live = live;
     limits.setCounts(counts, this.#parts.instances, nowMs);
   }
 
   #readOthers(instance: number): readonly RegionUse[] {
     const nowMs = this.#nowMs;
-    const { heardMs, live } = this.#instances[instance]!;
+    const { lastReceivedMs, live } = this.#instances[instance]!;
     return REGIONS.map((region, at) => {
-      const isNear = at === readRegion(instance);
-      const ageMs = isNear ? NEAR_AGE_MS : FAR_AGE_MS;
+      const isLocal = at === readRegion(instance);
+      const delayMs = isLocal ? LOCAL_REPORT_DELAY_MS : REMOTE_REPORT_DELAY_MS;
       let used = 0;
       let asked = 0;
-      for (let other = at; other < heardMs.length; other += REGIONS.length) {
+      for (
+        let other = at;
+        other < lastReceivedMs.length;
+        other += REGIONS.length
+      ) {
         if (other === instance || !live.has(other)) continue;
-        // What was told before the last word that came through.
-        const use = findTold(
-          this.#told[other]!,
+        // Only what the other instance sent up to the last contact with it is known.
+        const usage = findLastReport(
+          this.#sentReports[other]!,
           Math.min(
-            nowMs - ageMs,
-            heardMs[other]!,
+            nowMs - delayMs,
+            lastReceivedMs[other]!,
           ),
         );
-        used += use?.used ?? 0;
-        asked += use?.asked ?? 0;
+        used += usage?.used ?? 0;
+        asked += usage?.asked ?? 0;
       }
       return { region, used, asked };
     });
   }
 }
 
-function findTold(
-  told: readonly Told[],
+function findLastReport(
+  reports: readonly SentReport[],
   untilMs: number,
 ): ReportedUse | undefined {
-  for (let at = told.length - 1; at >= 0; at--) {
-    if (told[at]!.atMs <= untilMs) return told[at]!.use;
+  for (let at = reports.length - 1; at >= 0; at--) {
+    if (reports[at]!.atMs <= untilMs) return reports[at]!.usage;
   }
   return undefined;
 }
--- a/bench/team_limits_bench.ts
+++ b/bench/team_limits_bench.ts
@@ -7,7 +7,7 @@
 import { SumsFleet } from "./sums_fleet.ts";
 
 const SIZES = [3, 9, 24, 74, 195, 300];
-const WAYS: Readonly<
+const METHODS: Readonly<
   Record<string, (parts: LimitFleetParts) => LimitFleet>
 > = {
   shares: (parts) => new SharesFleet(parts),
@@ -16,22 +16,22 @@
   sums: (parts) => new SumsFleet(parts),
 };
 
-/** Compares ways of keeping a team to a limit in tokens over all instances. */
+/** Compares methods of enforcing a team's token limit over all instances. */
 export function runTeamLimitsBench(): Promise<BenchResult> {
   const figures: Record<string, number> = {};
   const rows = LIMIT_CASES.flatMap((load, index) =>
     SIZES.flatMap((instances) =>
-      Object.entries(WAYS).map(([way, create]) => {
+      Object.entries(METHODS).map(([method, create]) => {
         const outcome = playLimitCase(load, instances, create);
         const { admitted, heaviest, ofBound, ofLimit, sentPerSecond } = outcome;
-        const key = `case${index}_${instances}_${way}`;
+        const key = `case${index}_${instances}_${method}`;
         figures[`${key}_of_bound`] = ofBound;
         figures[`${key}_${load.isInside ? "admitted" : "of_limit"}`] =
           load.isInside ? admitted : ofLimit;
         return [
           load.name,
           String(instances),
-          way,
+          method,
           toCell(ofBound * 100),
           load.isInside ? toCell(admitted * 100) : "",
           toCell(ofLimit * 100),
@@ -45,7 +45,7 @@
     head: [
       "CASE",
       "INSTANCES",
-      "WAY",
+      "METHOD",
       "OF BOUND %",
       "ADMITTED %",
       "OF LIMIT %",
@@ -55,11 +55,11 @@
     rows,
     figures,
     notes: [
-      "of bound: the heaviest window of 8 s; aim: never over 100",
-      "admitted: calls inside the limit; aim: 98 steady, 95 walking",
-      "of limit: weight admitted; aim: 90 of it by a team far over it",
-      "heaviest tenth: admitted less that of all; aim: within 3",
-      "sent: rows or messages of one instance",
+      "of bound: weight of the heaviest window of 8 s; aim: never over 100",
+      "admitted: calls within the limit; aim: 98 with steady demand, 95 where it walks from region to region",
+      "of limit: weight admitted; aim: 90 for a team far over its limit",
+      "heaviest tenth: share admitted of these calls minus that of all calls; aim: within 3",
+      "sent: rows or messages of one instance per second",
     ],
   });
 }
