--- a/adapters/call_listener.ts
+++ b/adapters/call_listener.ts
@@ -278,7 +278,7 @@
     this.#response.end();
   }
 
-  breakOff(): void {
+  abort(): void {
     this.#response.destroy();
   }
 }
--- a/adapters/report_socket.ts
+++ b/adapters/report_socket.ts
@@ -3,7 +3,7 @@
 import {
   compressReport,
   decodeReport,
-  encodeCompressedHead,
+  encodeCompressedHeader,
   encodeReport,
   type FleetReport,
   type SendReportOptions,
@@ -50,7 +50,7 @@
     addresses.forEach((address, index) => {
       const { host, port } = splitAddress(address);
       const datagram = isCompressed
-        ? [encodeCompressedHead(echoes[index] ?? 0), body]
+        ? [encodeCompressedHeader(echoes[index] ?? 0), body]
         : body;
       this.#socket.send(datagram, port, host, ignoreError);
     });
--- a/bench/crowd_bench.ts
+++ b/bench/crowd_bench.ts
@@ -190,7 +190,7 @@
       },
       onDrain: () => {},
       end: () => {},
-      breakOff: () => {},
+      abort: () => {},
     });
   };
   const startCalls = (kind: number) => {
@@ -235,7 +235,7 @@
     const gateway = createVirtualGateway(address, {
       clock,
       random: createRandom(index + 1),
-      grammar: PROMPT_GRAMMAR,
+      headerCodec: PROMPT_GRAMMAR,
       seedAddresses: ["north-0"],
       self: {
         ...createVirtualGateway(address).fleet.self,
--- a/bench/virtual_engine.ts
+++ b/bench/virtual_engine.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../clock/mod.ts";
 import {
-  type CallGrammar,
-  OWN_GRAMMAR,
+  type CallHeaderCodec,
+  GATEWAY_HEADER_CODEC,
   type PromptFacts,
   type SendEvents,
   type ServerClient,
@@ -11,10 +11,10 @@
 const PROMPT_HEADER = "x-prompt";
 
 /** Reads calls whose prompts are in a header. */
-export const PROMPT_GRAMMAR: CallGrammar = {
-  ...OWN_GRAMMAR,
+export const PROMPT_GRAMMAR: CallHeaderCodec = {
+  ...GATEWAY_HEADER_CODEC,
   readCall: (headers) => ({
-    ...OWN_GRAMMAR.readCall(headers),
+    ...GATEWAY_HEADER_CODEC.readCall(headers),
     prompt: readPrompt(headers),
   }),
 };
--- a/bin/start_http_gateway.ts
+++ b/bin/start_http_gateway.ts
@@ -8,7 +8,7 @@
 import { createToken } from "../clock/mod.ts";
 import type { ConfigurationState } from "../configuration/mod.ts";
 import { CatalogState, HttpGateway } from "../daemon/mod.ts";
-import { OWN_GRAMMAR, readHop } from "../forwarding/mod.ts";
+import { GATEWAY_HEADER_CODEC, readHop } from "../forwarding/mod.ts";
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
@@ -65,7 +65,7 @@
       nowMs,
       readDelayMs: () => gateway.loopDelay.readMs(),
       readOrigin,
-      refuseUnread: (head) => gateway.forwarder.refuseUnread(head),
+      refuseUnread: (head) => gateway.forwarder.findHeadRefusal(head),
       handle: (call, sink) => gateway.handle(call, sink),
     });
   const peerListener = createListener(
@@ -84,7 +84,7 @@
     random,
     logger,
     metrics,
-    grammar: OWN_GRAMMAR,
+    headerCodec: GATEWAY_HEADER_CODEC,
     client: new ConnectionPool(),
     peerClient: new ConnectionPool(),
     self: {
@@ -126,7 +126,7 @@
     shutDown: async (graceMs) => {
       const listeners = [callerListener, peerListener];
       listeners.forEach((listener) => listener.startLeaving());
-      await gateway.leave({
+      await gateway.shutDown({
         graceMs,
         countOpen: () => callerListener.openCount + peerListener.openCount,
         stopListening: () =>
--- a/controllers/charge_usage.ts
+++ b/controllers/charge_usage.ts
@@ -64,7 +64,10 @@
  */
 function isDead(gateway: ChargeUsageGateway, incarnation: string): boolean {
   const id = incarnation.slice(0, incarnation.lastIndexOf(":"));
-  const knownRecords = [gateway.parts.self, ...gateway.membership.listed];
+  const knownRecords = [
+    gateway.parts.self,
+    ...gateway.membership.listedInstances,
+  ];
   return knownRecords.every((record) => record.id !== id) ||
     gateway.isGone(toIncarnation(incarnation));
 }
--- a/controllers/send_heartbeats.ts
+++ b/controllers/send_heartbeats.ts
@@ -41,7 +41,7 @@
       configuration: gateway.configuration.sequence,
       services: gateway.membership.isObserver ? readServices(gateway) : [],
     };
-    const outgoing = gateway.membership.decideTick(local, clock.nowMs());
+    const outgoing = gateway.membership.advanceTick(local, clock.nowMs());
     const listCrashReports = gateway.takeEnds();
     outgoing.forEach(({ to, heartbeat }) => {
       const ends = listCrashReports(to.region !== heartbeat.region);
--- a/controllers/watch_instances.ts
+++ b/controllers/watch_instances.ts
@@ -36,7 +36,7 @@
       return;
     }
     const ids = read.value.map(({ id }) => id).sort().join(" ");
-    gateway.membership.applyList(read.value, clock.nowMs());
+    gateway.membership.applyInstanceList(read.value, clock.nowMs());
     // The subsets of large pools depend on which instances are listed.
     if (ids !== knownIds) gateway.refreshPools();
     knownIds = ids;
--- a/daemon/judge_departure_test.ts
+++ b/daemon/decide_shutdown_stage_test.ts
@@ -6,7 +6,7 @@
   decideShutdownStage,
   isDoneBeforeClose,
   mayExit,
-} from "./judge_departure.ts";
+} from "./decide_shutdown_stage.ts";
 
 const TIMES = { startMs: 1_000, graceMs: 8_000 };
 const EARLY_MS = TIMES.startMs + ACCEPT_ALL_CALLS_MS;
--- a/daemon/fleet_reporter.ts
+++ b/daemon/fleet_reporter.ts
@@ -9,21 +9,21 @@
   type FleetView,
   isAhead,
   isLargeRegion,
-  type LoadBoard,
+  type LoadTracker,
+  type MemberObservation,
   planReports,
   PrefixQueue,
   RELAYS_PER_REGION,
   type ReportedPrefix,
   type ReportPlan,
   ReportWriter,
-  type SeenMember,
   type SendReport,
 } from "../fleet/mod.ts";
 import type { ReportedUse } from "../admission/mod.ts";
 import type { CallQuarantine } from "../quarantine/mod.ts";
 import type { StateSource } from "../state/mod.ts";
-import { CrashGossip } from "./ends_news.ts";
-import type { LimitGossip } from "./limit_news.ts";
+import { CrashGossip } from "./crash_gossip.ts";
+import type { LimitGossip } from "./limit_gossip.ts";
 
 /** Interval between reports to the own region, in milliseconds. */
 const REPORT_INTERVAL_MS = 150;
@@ -59,7 +59,7 @@
   /** View of the instances, updated by received reports. */
   readonly fleet: FleetView;
   /** Loads of the servers. */
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   /** State of the store that this instance knows. */
   readonly state: Pick<StateSource, "known" | "instanceAddresses">;
   /** Addresses of a few instances, some of which may be dead. */
@@ -67,11 +67,11 @@
   /** Sends a report to addresses. */
   readonly sendReport: SendReport;
   /** Returns the prompt parts sent to servers since the last call. */
-  readonly takePrefixes: () => readonly ReportedPrefix[];
+  readonly takeUnreportedPrefixes: () => readonly ReportedPrefix[];
   /** Records prompt parts that other instances have sent to servers. */
-  readonly learnPrefixes: (prefixes: readonly ReportedPrefix[]) => void;
+  readonly recordPrefixes: (prefixes: readonly ReportedPrefix[]) => void;
   /** Returns the usage of teams at this instance. Default: none, as no team has a limit. */
-  readonly listUses?: (nowMs: number) => readonly ReportedUse[];
+  readonly listTeamUsage?: (nowMs: number) => readonly ReportedUse[];
   /** Calls that servers had when they crashed, here or at other instances. */
   readonly quarantine: CallQuarantine;
   /** Limits that servers advertised. Default: none. */
@@ -107,7 +107,7 @@
     this.#parts = parts;
     this.#seedAddresses = parts.seedAddresses;
     this.#writer = new ReportWriter({
-      listUses: () => [],
+      listTeamUsage: () => [],
       listLimits: (scope, nowMs) =>
         parts.limits?.listReported(scope, nowMs) ?? [],
       ...parts,
@@ -162,11 +162,11 @@
    * @param from Address of the sender.
    */
   receive(report: FleetReport, from: string): void {
-    const { clock, fleet, learnPrefixes, limits, sendReport, state } =
+    const { clock, fleet, recordPrefixes, limits, sendReport, state } =
       this.#parts;
     const nowMs = clock.nowMs();
     if (fleet.applyReport(report, nowMs)) {
-      learnPrefixes(report.prefixes);
+      recordPrefixes(report.prefixes);
       limits?.recordReported(report, nowMs);
       const isLocal = report.from.region === fleet.self.region;
       if (!isLocal) this.#forwardRegionReport(report, nowMs);
@@ -189,7 +189,7 @@
   }
 
   #runRound(): void {
-    const prefixes = this.#parts.takePrefixes();
+    const prefixes = this.#parts.takeUnreportedPrefixes();
     this.addPrefixes(prefixes);
     this.#crashGossip.gatherOwn(this.#parts.clock.nowMs());
     this.#reportToLocalRegion(prefixes);
@@ -205,14 +205,14 @@
   #reportToLocalRegion(prefixes: readonly ReportedPrefix[]): void {
     const { clock, fleet, sendReport, state: { known } } = this.#parts;
     const nowMs = clock.nowMs();
-    const localPeers = fleet.listNearSeen(nowMs);
+    const localPeers = fleet.listLocalObservations(nowMs);
     const plan = this.#planReports(localPeers, nowMs);
     const usesAggregators = isLargeRegion(localPeers) && !this.#isAggregating;
     const ends = this.#crashGossip.takeForReport("near", nowMs);
     sendReport(
       this.#writer.createReport({ ends, known, prefixes, nowMs }, {
         // Aggregators receive reports from the members themselves.
-        namesMembers: !usesAggregators,
+        includesMembers: !usesAggregators,
         wantsSummary: usesAggregators && !fleet.hasSummaries(nowMs),
       }),
       toAddresses(plan.reportTo),
@@ -222,9 +222,9 @@
   }
 
   /** Plans the recipients of reports, and decides whether this instance is an aggregator. */
-  #planReports(near: readonly SeenMember[], nowMs: number): ReportPlan {
+  #planReports(near: readonly MemberObservation[], nowMs: number): ReportPlan {
     const { fleet } = this.#parts;
-    const isRepresentative = fleet.readReporterRank(nowMs) !== undefined;
+    const isRepresentative = fleet.readRepresentativeRank(nowMs) !== undefined;
     if (isRepresentative) this.#representativeSinceMs ??= nowMs;
     else this.#representativeSinceMs = undefined;
     const hasGatheredReports = isRepresentative &&
@@ -246,7 +246,7 @@
 
   #sendSummaries(
     { summarizeFor }: ReportPlan,
-    localPeers: readonly SeenMember[],
+    localPeers: readonly MemberObservation[],
     nowMs: number,
   ): void {
     const { sendReport, state: { known } } = this.#parts;
@@ -256,7 +256,12 @@
       localPeers.map(({ member, sequence }) => [member.id, sequence]),
     );
     sendReport(
-      this.#writer.createSum("summary", { ends, known, prefixes, nowMs }),
+      this.#writer.createAggregateReport("summary", {
+        ends,
+        known,
+        prefixes,
+        nowMs,
+      }),
       toAddresses(summarizeFor),
       {
         echoes: summarizeFor.map(({ id }) => receivedSequences.get(id) ?? 0),
@@ -273,16 +278,21 @@
   #reportToRemoteRegions(representativeCount: number): void {
     const { clock, fleet, sendReport, state: { known } } = this.#parts;
     const nowMs = clock.nowMs();
-    const rank = fleet.readReporterRank(nowMs);
+    const rank = fleet.readRepresentativeRank(nowMs);
     if (rank === undefined || rank >= representativeCount) return;
-    const receivers = fleet.listReceivers(representativeCount, nowMs);
+    const receivers = fleet.listRemoteReceivers(representativeCount, nowMs);
     if (receivers.length === 0) return;
     const prefixes = this.#regionPrefixes.take(MAX_REGION_PREFIXES);
     const ends = this.#crashGossip.takeForReport("region", nowMs);
     sendReport(
-      this.#writer.createSum("region", { ends, known, prefixes, nowMs }),
+      this.#writer.createAggregateReport("region", {
+        ends,
+        known,
+        prefixes,
+        nowMs,
+      }),
       toAddresses(receivers),
-      { isCompressed: isLargeRegion(fleet.listNearSeen(nowMs)) },
+      { isCompressed: isLargeRegion(fleet.listLocalObservations(nowMs)) },
     );
   }
 
@@ -294,8 +304,8 @@
   #forwardRegionReport(report: FleetReport, nowMs: number): void {
     const { fleet, sendReport } = this.#parts;
     if (report.scope !== "region") return;
-    const isFirst = fleet.readReporterRank(nowMs) === 0;
-    const seen = fleet.listNearSeen(nowMs);
+    const isFirst = fleet.readRepresentativeRank(nowMs) === 0;
+    const seen = fleet.listLocalObservations(nowMs);
     if (!isLargeRegion(seen)) {
       if (isFirst) sendReport(report, seen.map(({ member }) => member.address));
       return;
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -38,7 +38,7 @@
 import type { CallQuarantine, ReportedEnds } from "../quarantine/mod.ts";
 import type { PeerHandlers, PeerMethod, PeerMethods } from "../peers/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
-import { CrashGossip } from "./ends_news.ts";
+import { CrashGossip } from "./crash_gossip.ts";
 import { createPeerHandlers } from "./peer_handlers.ts";
 import { createRoutes, type Routes } from "./routes.ts";
 import { startControllers } from "./start_controllers.ts";
@@ -128,7 +128,7 @@
       isRelay: () => this.membership.isFirstObserver,
       push: (entries) => pushToRegion(this, entries),
       pull: (after) => pullFromPeers(this, after),
-      readNewestHeard: () => this.membership.newestHeard,
+      readNewestHeard: () => this.membership.newestConfiguration,
       report: (message) => parts.logger.warn(message),
     });
     this.quarantine = new QuarantineGuard({ logger: parts.logger }).quarantine;
@@ -247,7 +247,7 @@
    */
   async leave(signal: AbortSignal): Promise<void> {
     this.membership.markLeaving();
-    this.membership.createFarewell(this.configuration.sequence)
+    this.membership.createBroadcast(this.configuration.sequence)
       .forEach(({ to, heartbeat }) => this.parts.peers.send(to, heartbeat));
     this.parts.logger.info("leaving", { inFlight: this.#inFlight });
     await new Promise<void>((resolve) => {
@@ -435,7 +435,7 @@
   readLimitHolders(team: TeamId): readonly string[] {
     const ids = [
       this.parts.self.id,
-      ...this.membership.listed.map(({ id }) => id),
+      ...this.membership.listedInstances.map(({ id }) => id),
     ];
     return rankNames(`limit ${team}`, ids).slice(0, LIMIT_HOLDER_COUNT);
   }
@@ -451,7 +451,7 @@
       random,
       self: self.id,
       readLive: (region) =>
-        [self, ...this.membership.listed]
+        [self, ...this.membership.listedInstances]
           .filter((record) => region === undefined || record.region === region)
           .map(({ id }) => id),
       isGone,
--- a/daemon/departure.ts
+++ b/daemon/graceful_shutdown.ts
@@ -8,7 +8,7 @@
   mayExit,
   type ShutdownStage,
   type ShutdownTimes,
-} from "./judge_departure.ts";
+} from "./decide_shutdown_stage.ts";
 
 /** Interval between checks for calls in flight, in milliseconds. */
 const CHECK_INTERVAL_MS = 50;
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -12,21 +12,21 @@
 import {
   type FleetReport,
   FleetView,
-  LoadBoard,
+  LoadTracker,
   type MemberRecord,
   type SendReport,
 } from "../fleet/mod.ts";
 import {
+  type CachedParts,
   CallForwarder,
-  type CallGrammar,
+  type CallHeaderCodec,
   type CallSink,
-  type HeldParts,
-  NO_ROOM_RETRY_MS,
+  EventLoopGate,
+  NO_CAPACITY_RETRY_MS,
   type OpaqueCall,
-  type RepeatBounds,
+  type RetryBounds,
   type ServerClient,
-  toHeldPrefixes,
-  TurnGate,
+  toCachedPrefixes,
   type WarmUpBounds,
 } from "../forwarding/mod.ts";
 import type { CallerLimits, RouteTable } from "../http_routes/mod.ts";
@@ -39,8 +39,8 @@
 import type { StateSource } from "../state/mod.ts";
 import type { Result } from "neverthrow";
 import { FleetReporter } from "./fleet_reporter.ts";
-import { LimitGossip } from "./limit_news.ts";
-import { GracefulShutdown, type ShutdownOptions } from "./departure.ts";
+import { LimitGossip } from "./limit_gossip.ts";
+import { GracefulShutdown, type ShutdownOptions } from "./graceful_shutdown.ts";
 import { PeerCatchUp, type ReadPeerState } from "./peer_catch_up.ts";
 
 /** Interval between sweeps of expired state, in milliseconds. */
@@ -75,7 +75,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Reads and writes the headers of calls. */
-  readonly grammar: CallGrammar;
+  readonly headerCodec: CallHeaderCodec;
   /** Sends calls to backend servers. */
   readonly client: ServerClient;
   /** Sends calls to other instances. */
@@ -87,13 +87,13 @@
   /** Creates the source of routes and servers. */
   readonly createState: (sinks: StateSinks) => StateSource;
   /** Bounds on retries. */
-  readonly repeatBounds: RepeatBounds;
+  readonly repeatBounds: RetryBounds;
   /** Bounds on calls to cold servers. */
   readonly warmUpBounds: WarmUpBounds;
   /** Usage allowed beyond the limits of teams. Default: none, over a window of 8 s. */
   readonly limitBounds?: LimitBounds;
   /** Stores a quarantined call for instances that start later. Default: it is not stored. */
-  readonly keepRefusedCall?: (ends: ReportedEnds) => void;
+  readonly storeQuarantinedCall?: (ends: ReportedEnds) => void;
   /** Sends a report to addresses. */
   readonly sendReport: SendReport;
   /**
@@ -102,10 +102,10 @@
    */
   readonly readPeerState?: ReadPeerState;
   /** Reads which prompt parts the engine at an address has cached. Default: not read, but derived from the prompts sent to it. */
-  readonly readHeldParts?: (
+  readonly readCachedParts?: (
     address: string,
     signal: AbortSignal,
-  ) => Promise<Result<HeldParts, string>>;
+  ) => Promise<Result<CachedParts, string>>;
   /** Applies the limits on callers of each configuration. */
   readonly applyLimits: (limits: CallerLimits) => void;
   /** Called with the addresses of all servers after each change. */
@@ -132,7 +132,7 @@
   readonly registry: ServerRegistry;
   readonly #parts: HttpGatewayParts;
   readonly #catchUp: PeerCatchUp | undefined;
-  readonly #eventLoopGate: TurnGate;
+  readonly #eventLoopGate: EventLoopGate;
   readonly #reporter: FleetReporter;
   readonly #answerRecorder: AnswerRecorder;
   #shutdown: GracefulShutdown | undefined;
@@ -144,9 +144,9 @@
     const { clock, logger, random } = parts;
     this.#parts = parts;
     this.loopDelay = new LoopDelay(clock);
-    this.#eventLoopGate = new TurnGate(clock);
+    this.#eventLoopGate = new EventLoopGate(clock);
     this.#answerRecorder = new AnswerRecorder(parts);
-    const loads = new LoadBoard();
+    const loads = new LoadTracker();
     this.fleet = new FleetView({
       self: parts.self,
       loads,
@@ -158,7 +158,7 @@
     this.forwarder = new CallForwarder({
       clock,
       random,
-      grammar: parts.grammar,
+      headerCodec: parts.headerCodec,
       client: parts.client,
       peerClient: parts.peerClient,
       registry: this.registry,
@@ -166,10 +166,10 @@
       loads,
       logger,
       metrics: parts.metrics,
-      repeatBounds: parts.repeatBounds,
+      retryBounds: parts.repeatBounds,
       warmUpBounds: parts.warmUpBounds,
       limitBounds: parts.limitBounds ?? DEFAULT_LIMIT_BOUNDS,
-      keepRefusedCall: parts.keepRefusedCall,
+      storeQuarantinedCall: parts.storeQuarantinedCall,
     });
     this.state = parts.createState({
       registry: this.registry,
@@ -184,7 +184,7 @@
       onRestored: () => {
         // All instances know the same quarantined calls, so only the relays, which follow
         // the store, write them.
-        if (this.#isRelay()) this.forwarder.keepRefusedCalls();
+        if (this.#isRelay()) this.forwarder.storeAllQuarantinedCallsAgain();
       },
       isRelay: () => this.#isRelay(),
     });
@@ -204,18 +204,18 @@
       state: this.state,
       seedAddresses: parts.seedAddresses,
       sendReport: parts.sendReport,
-      takePrefixes: () => this.forwarder.takePrefixes(),
-      learnPrefixes: (prefixes) => this.forwarder.learnPrefixes(prefixes),
-      listUses: (nowMs) => this.forwarder.listUses(nowMs),
+      takeUnreportedPrefixes: () => this.forwarder.takeUnreportedPrefixes(),
+      recordPrefixes: (prefixes) => this.forwarder.recordPrefixes(prefixes),
+      listTeamUsage: (nowMs) => this.forwarder.listTeamUsage(nowMs),
       quarantine: this.forwarder.quarantine,
       limits: new LimitGossip({
         ownRegion: parts.self.region,
-        limits: this.forwarder.limits,
+        limits: this.forwarder.serverLimits,
         logger,
       }),
       onRound: () => {
-        this.forwarder.countFleet();
-        this.forwarder.wake();
+        this.forwarder.updateInstanceCounts();
+        this.forwarder.wakeWaitingCalls();
         this.#catchUp?.check();
       },
       onNewState: () => this.#catchUp?.check(),
@@ -264,7 +264,7 @@
   /** Applies settings that can change while the instance runs. */
   applySettings(settings: LiveSettings): void {
     this.#reporter.setSeedAddresses(settings.seedAddresses);
-    this.forwarder.setRepeatBounds(settings.repeatBounds);
+    this.forwarder.setRetryBounds(settings.repeatBounds);
   }
 
   /** Serves one call. */
@@ -280,7 +280,7 @@
       return;
     }
     const isServed = await shutdown.serveLateCall(
-      () => this.forwarder.findDueMs(call),
+      () => this.forwarder.computeDeadlineMs(call),
       () => this.forwarder.handle(call, sink),
     );
     if (!isServed) this.#refuseLeaving(call, sink);
@@ -297,7 +297,7 @@
    *
    * @param options Grace period, and functions of the sockets that callers use.
    */
-  async leave(options: ShutdownOptions): Promise<void> {
+  async shutDown(options: ShutdownOptions): Promise<void> {
     const { clock, logger } = this.#parts;
     this.#shutdown = new GracefulShutdown({
       ...options,
@@ -323,10 +323,10 @@
   }
 
   #refuseOverloaded(call: OpaqueCall, sink: CallSink): void {
-    const { grammar, logger, metrics } = this.#parts;
+    const { headerCodec, logger, metrics } = this.#parts;
     metrics.count("call.overloaded");
     logger.info("refused", {
-      call: grammar.readCall(call.headers).callId,
+      call: headerCodec.readCall(call.headers).callId,
       reason: "overloaded",
       unreadMs: Math.round(call.unreadMs),
       waitMs: Math.round(this.#eventLoopGate.waitMs),
@@ -334,16 +334,16 @@
     this.forwarder.refuse(call, sink, {
       reason: "overloaded",
       message: "More calls come than this instance can forward",
-      retryAfterMs: NO_ROOM_RETRY_MS,
+      retryAfterMs: NO_CAPACITY_RETRY_MS,
     });
   }
 
   #applyServers(): void {
-    this.fleet.setNamedCount(this.state.instanceAddresses.length);
-    this.forwarder.countFleet();
-    this.forwarder.forgetGone();
+    this.fleet.setRegisteredCount(this.state.instanceAddresses.length);
+    this.forwarder.updateInstanceCounts();
+    this.forwarder.forgetUnregisteredServers();
     this.#readPrefixCaches();
-    this.forwarder.wake();
+    this.forwarder.wakeWaitingCalls();
     // The other instances of the region get changes of the store from its relays.
     if (this.#isRelay()) this.#reporter.reportToLocalRegion();
     this.#parts.applyAddresses(
@@ -366,9 +366,9 @@
   async #readPrefixCache(
     { address, id, startedMs }: RegisteredServer,
   ): Promise<void> {
-    const { logger, readHeldParts } = this.#parts;
-    if (readHeldParts === undefined || this.#signal === undefined) return;
-    const cached = await readHeldParts(address, this.#signal);
+    const { logger, readCachedParts } = this.#parts;
+    if (readCachedParts === undefined || this.#signal === undefined) return;
+    const cached = await readCachedParts(address, this.#signal);
     if (cached.isErr()) {
       logger.warn("engine memory not read", {
         server: id,
@@ -387,8 +387,8 @@
       return;
     }
     logger.info("engine memory read", { server: id, parts: parts.length });
-    const prefixes = toHeldPrefixes(id, parts);
-    this.forwarder.learnPrefixes(prefixes);
+    const prefixes = toCachedPrefixes(id, parts);
+    this.forwarder.recordPrefixes(prefixes);
     this.#reporter.addPrefixes(prefixes);
   }
 
@@ -401,7 +401,7 @@
     const nowMs = clock.nowMs();
     this.fleet.sweep(nowMs);
     // An instance that the sweep drops has to count as silent at once.
-    this.forwarder.countFleet();
+    this.forwarder.updateInstanceCounts();
     this.state.sweep();
     const { configurationVersion, store } = this.state.known;
     metrics.gauge("call.in_flight", this.forwarder.inFlight);
@@ -410,12 +410,12 @@
     metrics.gauge("state.store_revision", store.revision);
     metrics.gauge("state.store_era", store.era);
     metrics.gauge("state.store_reachable", this.state.isReachable ? 1 : 0);
-    metrics.gauge("fleet.live", this.fleet.countAll(nowMs));
+    metrics.gauge("fleet.live", this.fleet.countLive(nowMs));
     metrics.gauge("fleet.summarized", this.#reporter.summarizedCount);
     metrics.gauge("loop.delay_ms", this.loopDelay.readMs());
     const { quarantine } = this.forwarder;
     metrics.gauge("quarantine.held", quarantine.heldCount);
     metrics.gauge("quarantine.suspects", quarantine.suspectCount);
-    metrics.gauge("servers.limited", this.forwarder.limits.count);
+    metrics.gauge("servers.limited", this.forwarder.serverLimits.count);
   }
 }
--- a/daemon/limit_news.ts
+++ b/daemon/limit_gossip.ts
@@ -39,10 +39,13 @@
     const { limits: known, logger, ownRegion } = this.#parts;
     const isFirsthand = scope === "instance" && from.region === ownRegion;
     const source: LimitSource = isFirsthand ? "member" : "summary";
-    known.learn(limits, source, nowMs).forEach(({ perSecond, server }) => {
-      const fields = { server, toldBy: from.id };
-      if (perSecond === undefined) logger.info("server names no limit", fields);
-      else logger.info("server names a limit", { ...fields, perSecond });
-    });
+    known.recordReported(limits, source, nowMs).forEach(
+      ({ perSecond, server }) => {
+        const fields = { server, toldBy: from.id };
+        if (perSecond === undefined) {
+          logger.info("server names no limit", fields);
+        } else logger.info("server names a limit", { ...fields, perSecond });
+      },
+    );
   }
 }
--- a/daemon/spread_configuration.ts
+++ b/daemon/spread_configuration.ts
@@ -36,7 +36,7 @@
     .filter(({ status }) => status !== "dead" && status !== "leaving")
     .toSorted((a, b) => b.configuration - a.configuration)
     .map(({ record }) => record);
-  const remotePeers = membership.listed.filter(({ region }) =>
+  const remotePeers = membership.listedInstances.filter(({ region }) =>
     region !== parts.self.region
   );
   const start = Math.floor(
--- a/filters/list_entries.ts
+++ b/filters/list_entries.ts
@@ -40,7 +40,9 @@
   const localRecords = rankNames(caller, membership.liveIds)
     .map((id) => id === self.id ? self : membership.readRecord(id))
     .filter((record) => record !== undefined);
-  const regions = [...new Set(membership.listed.map(({ region }) => region))]
+  const regions = [
+    ...new Set(membership.listedInstances.map(({ region }) => region)),
+  ]
     .filter((region) => region !== self.region)
     .filter((region) => options.allowed?.has(region) ?? true);
   const remoteRecords = rankNames(caller, regions).flatMap((region) =>
--- a/filters/resource_api.ts
+++ b/filters/resource_api.ts
@@ -226,7 +226,9 @@
     live: digest.liveCount,
     age_ms: Math.round(ageMs),
   }));
-  const listedRegions = new Set(membership.listed.map(({ region }) => region));
+  const listedRegions = new Set(
+    membership.listedInstances.map(({ region }) => region),
+  );
   const reportedRegions = new Set(
     [ownRegion, ...remoteRegions].map(({ region }) => region),
   );
--- a/filters/serve_locally.ts
+++ b/filters/serve_locally.ts
@@ -13,7 +13,7 @@
   toAttemptId,
   toBackendId,
 } from "../ids/mod.ts";
-import { BEGINNING_MS } from "../forwarding/mod.ts";
+import { CRASH_ATTRIBUTION_MS } from "../forwarding/mod.ts";
 import { CallContent, type CallQuarantine } from "../quarantine/mod.ts";
 import type { BackendServer } from "../resources/mod.ts";
 import { createFailure, type Failure } from "../results/mod.ts";
@@ -378,7 +378,7 @@
   };
   const recordEarlyCrash = () => {
     const isEarly = firstTokenMs === 0 ||
-      clock.nowMs() - firstTokenMs < BEGINNING_MS;
+      clock.nowMs() - firstTokenMs < CRASH_ATTRIBUTION_MS;
     if (isEarly) recordServerCrash(parts, exchange, current);
   };
   return {
--- a/fleet/encode_report.ts
+++ b/fleet/encode_report.ts
@@ -82,7 +82,7 @@
       part ?? "",
       tokens,
     ]),
-    report.news.map(({ member, ageMs }) => [
+    report.gossip.map(({ member, ageMs }) => [
       ...encodeMemberRow(member),
       Math.round(ageMs),
     ]),
@@ -111,7 +111,7 @@
  *
  * @param echo Sequence number of the receiver's report that a summary includes; 0: none.
  */
-export function encodeCompressedHead(echo: number): Buffer {
+export function encodeCompressedHeader(echo: number): Buffer {
   const head = Buffer.alloc(COMPRESSED_HEADER_BYTES);
   head.writeUInt8(COMPRESSED_MARKER);
   head.writeUInt32BE(echo, 1);
@@ -187,7 +187,7 @@
     },
     loads: loads.map(decodeLoadRow),
     prefixes: prefixes.map(decodePrefixRow),
-    news: gossip.map(decodeGossipRow),
+    gossip: gossip.map(decodeGossipRow),
     wantsNews: (toNumber(requests) & WANTS_GOSSIP) > 0,
     wantsSummary: (toNumber(requests) & WANTS_SUMMARY) > 0,
     ...(crashes.length > 0 ? { ends: crashes.map(decodeCrashRow) } : {}),
--- a/fleet/fleet_report.ts
+++ b/fleet/fleet_report.ts
@@ -101,7 +101,7 @@
   readonly known: KnownState;
   readonly loads: readonly ReportedLoad[];
   readonly prefixes: readonly ReportedPrefix[];
-  readonly news: readonly MemberGossip[];
+  readonly gossip: readonly MemberGossip[];
   /** Reports of server crashes during calls. Default: none. */
   readonly ends?: readonly ReportedEnds[];
   /** Usage of teams at the instances that `scope` names. Default: none. */
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -9,8 +9,8 @@
 } from "./fleet_report.ts";
 import type { RegionCount } from "../admission/mod.ts";
 import { comparePositions } from "../store/mod.ts";
-import type { LoadBoard } from "./load_board.ts";
-import { TeamUsageTracker } from "./use_board.ts";
+import type { LoadTracker } from "./load_tracker.ts";
+import { TeamUsageTracker } from "./team_usage_tracker.ts";
 import { type ReportPeer, SUMMARY_TIMEOUT_MS } from "./plan_reports.ts";
 import {
   pickRelays,
@@ -68,7 +68,7 @@
 const NEVER = Number.NEGATIVE_INFINITY;
 
 /** A member that is considered live, with what is known of it. */
-export interface SeenMember extends ReportPeer {
+export interface MemberObservation extends ReportPeer {
   /** Sequence number of the last report received from the member itself; 0: none. */
   readonly sequence: number;
 }
@@ -93,7 +93,7 @@
 /** Constructor arguments of {@linkcode FleetView}. */
 export interface FleetViewParts {
   readonly self: Omit<MemberRecord, "state">;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   /** When this instance started, in milliseconds on its clock. Default: long ago. */
   readonly startMs?: number;
 }
@@ -106,9 +106,9 @@
  */
 export class FleetView {
   /** Usage of teams as reported by other instances. */
-  readonly uses: TeamUsageTracker;
+  readonly teamUsage: TeamUsageTracker;
   readonly #self: Omit<MemberRecord, "state">;
-  readonly #loads: LoadBoard;
+  readonly #loads: LoadTracker;
   readonly #members = new Map<InstanceId, MemberEntry>();
   readonly #startMs: number;
   /** Since when summaries have arrived without a gap, and when the last one arrived. */
@@ -122,7 +122,7 @@
   constructor(parts: FleetViewParts) {
     this.#self = parts.self;
     this.#loads = parts.loads;
-    this.uses = new TeamUsageTracker(parts.self.region);
+    this.teamUsage = new TeamUsageTracker(parts.self.region);
     this.#startMs = parts.startMs ?? Number.NEGATIVE_INFINITY;
   }
 
@@ -160,7 +160,7 @@
   }
 
   /** Returns the other live members of the local region, with what is known of them. */
-  listNearSeen(nowMs: number): readonly SeenMember[] {
+  listLocalObservations(nowMs: number): readonly MemberObservation[] {
     return this.listObservations(nowMs)
       .filter(({ member }) => member.region === this.#self.region);
   }
@@ -171,7 +171,7 @@
   }
 
   /** Returns the live members, without this instance, with what is known of them. */
-  listObservations(nowMs: number): readonly SeenMember[] {
+  listObservations(nowMs: number): readonly MemberObservation[] {
     return [...this.#members.values()].filter((entry) =>
       this.#isLive(entry, nowMs)
     )
@@ -219,7 +219,7 @@
    * for longer than the others. Such a member may have failed, though it is too early
    * to consider it dead.
    */
-  listFresh(region: RegionId, nowMs: number): readonly MemberRecord[] {
+  listResponsive(region: RegionId, nowMs: number): readonly MemberRecord[] {
     const ready = [...this.#members.values()].filter((entry) =>
       entry.member.region === region && entry.member.state === "ready" &&
       this.#isLive(entry, nowMs)
@@ -281,7 +281,7 @@
    * Returns, for each region, the number of instances that share limits and how many of
    * them are live.
    */
-  countRegions(nowMs: number): readonly RegionCount[] {
+  countInstancesByRegion(nowMs: number): readonly RegionCount[] {
     const entries = [...this.#members.values()];
     return this.listRegions().map((region) => {
       const own = region === this.#self.region ? 1 : 0;
@@ -296,17 +296,17 @@
   }
 
   /** Number of instances with an entry in the store, as last set. */
-  get namedCount(): number {
+  get registeredCount(): number {
     return this.#registeredCount;
   }
 
   /** Sets the number of instances with an entry in the store. */
-  setNamedCount(count: number): void {
+  setRegisteredCount(count: number): void {
     this.#registeredCount = count;
   }
 
   /** Returns the number of live instances in all regions, including this one. */
-  countAll(nowMs: number): number {
+  countLive(nowMs: number): number {
     return this.listLive(nowMs).length + 1;
   }
 
@@ -371,7 +371,7 @@
       isIndirect: false,
       leavingSinceMs: readLeavingSinceMs(entry, from, nowMs),
     });
-    report.news.forEach((gossip) => this.applyGossip(gossip, nowMs));
+    report.gossip.forEach((gossip) => this.applyGossip(gossip, nowMs));
     if (report.scope === "summary") this.#recordSummary(report, nowMs);
     this.#applyLoads(report);
     return true;
@@ -421,10 +421,10 @@
     this.#members.forEach((entry, id) => {
       if (this.#isLive(entry, nowMs)) return;
       this.#loads.removeReport(id);
-      this.uses.removeInstance(id);
+      this.teamUsage.removeInstance(id);
       if (!this.#hasLiveMember(entry.member.region, nowMs)) {
         this.#loads.removeReport(toRegionReporter(entry.member.region));
-        this.uses.removeRegion(entry.member.region);
+        this.teamUsage.removeRegion(entry.member.region);
       }
       if (nowMs - entry.lastSeenMs <= REMOVE_AFTER_MS) return;
       this.#members.delete(id);
@@ -435,14 +435,14 @@
   /** Drops an aggregator's summary, so that the reports of the region's instances are used again. */
   dropSummary(): void {
     this.#loads.dropSummary();
-    this.uses.dropSummary();
+    this.teamUsage.dropSummary();
   }
 
   /**
    * Returns the rank of this instance among the representatives of its region, from 0,
    * or `undefined` if it is not one of them.
    */
-  readReporterRank(nowMs: number): number | undefined {
+  readRepresentativeRank(nowMs: number): number | undefined {
     const rank = pickRepresentatives([this.self, ...this.listLocal(nowMs)])
       .findIndex(({ id }) => id === this.#self.id);
     return rank < 0 ? undefined : rank;
@@ -455,7 +455,10 @@
    * @param perRegion Number of members per region, at most that of its representatives.
    * @param nowMs Current time, in milliseconds.
    */
-  listReceivers(perRegion: number, nowMs: number): readonly MemberRecord[] {
+  listRemoteReceivers(
+    perRegion: number,
+    nowMs: number,
+  ): readonly MemberRecord[] {
     const live = this.listLive(nowMs);
     const regions = new Set(live.map(({ region }) => region));
     regions.delete(this.#self.region);
@@ -472,7 +475,7 @@
   }
 
   /** Records which members a summary names, and since when summaries have arrived without a gap. */
-  #recordSummary({ news }: FleetReport, nowMs: number): void {
+  #recordSummary({ gossip: news }: FleetReport, nowMs: number): void {
     const isContinuous = nowMs - this.#summaries.lastMs < MAX_SUMMARY_GAP_MS;
     const sinceMs = isContinuous ? this.#summaries.sinceMs : nowMs;
     this.#summaries = { sinceMs, lastMs: nowMs };
@@ -487,11 +490,11 @@
     const isLocal = from.region === this.#self.region;
     if (scope === "summary" && isLocal) {
       this.#loads.replaceSummary(loads, report.echo ?? 0);
-      this.uses.replaceSummary(uses, report.echo ?? 0);
+      this.teamUsage.replaceSummary(uses, report.echo ?? 0);
     }
     if (scope === "instance" && isLocal) {
       this.#loads.replaceReport(from.id, { scope, loads });
-      this.uses.replaceInstance(from.id, uses);
+      this.teamUsage.replaceInstance(from.id, uses);
     }
     // Two representatives report on a region: the later report replaces the earlier one.
     if (scope === "region" && !isLocal) {
@@ -499,7 +502,7 @@
         scope,
         loads,
       });
-      this.uses.replaceRegion(from.region, uses);
+      this.teamUsage.replaceRegion(from.region, uses);
     }
   }
 
--- a/fleet/fleet_view_property_test.ts
+++ b/fleet/fleet_view_property_test.ts
@@ -8,7 +8,7 @@
   LOCAL_MEMBER_TIMEOUT_MS,
   REMOTE_MEMBER_TIMEOUT_MS,
 } from "./fleet_view.ts";
-import { LoadBoard } from "./load_board.ts";
+import { LoadTracker } from "./load_tracker.ts";
 import { createFleet, createMember } from "../tests/member_fixture.ts";
 
 const NORTH = toRegionId("north");
@@ -50,7 +50,7 @@
 
 /** A view, and a model of what the same events tell of each member. */
 class Run {
-  readonly loads = new LoadBoard();
+  readonly loads = new LoadTracker();
   readonly view = createFleet(createMember("self"), this.loads);
   readonly incarnations = MEMBERS.map(() => 1);
   /** Incarnation in which a member's own report said that it leaves. */
@@ -98,11 +98,11 @@
   #applyReport(
     index: number,
     sequence: number,
-    news: FleetReport["news"],
+    news: FleetReport["gossip"],
   ): void {
     const from = this.createMember(index, sequence);
     const isNew = this.view.applyReport(
-      createReport(from, sequence, { news }),
+      createReport(from, sequence, { gossip: news }),
       this.nowMs,
     );
     if (!isNew) return;
@@ -171,8 +171,8 @@
     checkAfterEach((run) => {
       const live = new Set(run.view.listLive(run.nowMs).map(({ id }) => id));
       [
-        ...run.view.listReceivers(2, run.nowMs),
-        ...run.view.listFresh(SOUTH, run.nowMs),
+        ...run.view.listRemoteReceivers(2, run.nowMs),
+        ...run.view.listResponsive(SOUTH, run.nowMs),
       ].forEach(({ id }) => assert.ok(live.has(id)));
     });
   });
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -4,7 +4,7 @@
 import {
   compressReport,
   decodeReport,
-  encodeCompressedHead,
+  encodeCompressedHeader,
   encodeReport,
 } from "./encode_report.ts";
 import type { MemberRecord, MemberState } from "./fleet_report.ts";
@@ -60,7 +60,7 @@
     view.applyReport(createReport(createMember("a"), 1), 0);
     view.applyReport(createReport(createMember("a", "leaving"), 2), 100);
     const news = [{ member: createMember("a"), ageMs: 0 }];
-    view.applyReport(createReport(createMember("b"), 1, { news }), 200);
+    view.applyReport(createReport(createMember("b"), 1, { gossip: news }), 200);
     assert.deepEqual(listNames(view.listReady(NORTH, 200)), ["b", "self"]);
   });
 
@@ -84,7 +84,10 @@
     receive("lingering", 3, 2_700);
     assert.deepEqual(listLeaving(2_800), ["a"]);
     const news = [{ member: createMember("a"), ageMs: 0 }];
-    view.applyReport(createReport(createMember("b"), 1, { news }), 2_900);
+    view.applyReport(
+      createReport(createMember("b"), 1, { gossip: news }),
+      2_900,
+    );
     assert.deepEqual(listNames(view.listReady(NORTH, 2_900)), ["b", "self"]);
     assert.deepEqual(listLeaving(2_900), ["a"]);
     receive("leaving", 4, 3_000);
@@ -100,7 +103,9 @@
       atMs: number,
     ) => {
       const news = [{ member: createMember("a", state), ageMs: 0 }];
-      const report = createReport(createMember("b"), sequence, { news });
+      const report = createReport(createMember("b"), sequence, {
+        gossip: news,
+      });
       view.applyReport(report, atMs);
       return listNames(view.listLeaving(NORTH, atMs));
     };
@@ -128,7 +133,7 @@
     const view = createView();
     const far = createMember("far", "ready", { region: SOUTH });
     const news = [{ member: far, ageMs: 1_000 }];
-    view.applyReport(createReport(createMember("a"), 1, { news }), 0);
+    view.applyReport(createReport(createMember("a"), 1, { gossip: news }), 0);
     assert.deepEqual(listNames(view.listReady(SOUTH, 0)), ["far"]);
     assert.deepEqual(listNames(view.listReady(SOUTH, 1_600)), []);
   });
@@ -140,11 +145,11 @@
     ) as [MemberRecord, MemberRecord];
     view.applyReport(createReport(stopped, 1), 0);
     view.applyReport(createReport(running, 1), 0);
-    assert.equal(view.listFresh(SOUTH, 900).length, 2);
+    assert.equal(view.listResponsive(SOUTH, 900).length, 2);
     view.applyReport(createReport(running, 2), MAX_LAG_MS);
-    assert.deepEqual(listNames(view.listFresh(SOUTH, 900)), ["far-2"]);
+    assert.deepEqual(listNames(view.listResponsive(SOUTH, 900)), ["far-2"]);
     assert.equal(view.listReady(SOUTH, 900).length, 2);
-    assert.deepEqual(view.listFresh(NORTH, 900), []);
+    assert.deepEqual(view.listResponsive(NORTH, 900), []);
   });
 
   it("counts silent members among those that share a limit until they are removed", () => {
@@ -161,7 +166,7 @@
 
   it("counts at least the instances registered in the store among all that share a limit", () => {
     const view = createView();
-    view.setNamedCount(60);
+    view.setRegisteredCount(60);
     assert.equal(view.countSharing(), 60);
     assert.equal(view.countSharing(NORTH), 1);
   });
@@ -186,7 +191,7 @@
   it("returns what was encoded", () => {
     const report = createReport(createMember("a"), 7, {
       scope: "region",
-      news: [{ member: createMember("b", "leaving"), ageMs: 12 }],
+      gossip: [{ member: createMember("b", "leaving"), ageMs: 12 }],
       ends: [{
         call: toCallFingerprint("call"),
         servers: [toBackendId("s1"), toBackendId("s2")],
@@ -213,7 +218,7 @@
       wantsSummary: false,
     });
     const datagram = Buffer.concat([
-      encodeCompressedHead(1_234),
+      encodeCompressedHeader(1_234),
       compressReport(report),
     ]);
     assert.deepEqual(decodeReport(datagram), { ...report, echo: 1_234 });
--- a/fleet/load_board.ts
+++ b/fleet/load_tracker.ts
@@ -17,7 +17,7 @@
  * Tracks the load of each backend server by calls in flight: those of this instance,
  * counted as they begin and complete, and those that other instances report.
  */
-export class LoadBoard {
+export class LoadTracker {
   readonly #own = new Map<BackendId, Sums>();
   readonly #reportedOwn = new ReportedOwnLoads();
   readonly #reports = new Map<string, Report>();
--- a/fleet/load_board_test.ts
+++ b/fleet/load_tracker_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { toBackendId } from "../ids/mod.ts";
-import { LoadBoard } from "./load_board.ts";
+import { LoadTracker } from "./load_tracker.ts";
 
 const SERVER = toBackendId("s1");
 const ONE = { calls: 1, pendingTokens: 100, memoryTokens: 400 };
@@ -9,7 +9,7 @@
 describe("LoadBoard", () => {
   describe("when this instance and others have calls at a server", () => {
     it("sums their loads", () => {
-      const tracker = new LoadBoard();
+      const tracker = new LoadTracker();
       tracker.addOwn(SERVER, ONE);
       tracker.replaceReport("a", {
         scope: "instance",
@@ -28,7 +28,7 @@
     });
 
     it("replaces the last report of a sender", () => {
-      const tracker = new LoadBoard();
+      const tracker = new LoadTracker();
       const loads = [{ server: SERVER, ...ONE }];
       tracker.replaceReport("a", { scope: "instance", loads });
       tracker.replaceReport("a", { scope: "instance", loads });
@@ -40,7 +40,7 @@
 
   describe("listNear()", () => {
     it("leaves out loads that other regions report, which would count twice there", () => {
-      const tracker = new LoadBoard();
+      const tracker = new LoadTracker();
       tracker.addOwn(SERVER, ONE);
       tracker.replaceReport("region north", {
         scope: "region",
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -1,4 +1,4 @@
-import type { FleetView, SeenMember } from "./fleet_view.ts";
+import type { FleetView, MemberObservation } from "./fleet_view.ts";
 import type {
   FleetReport,
   KnownState,
@@ -8,7 +8,7 @@
 } from "./fleet_report.ts";
 import type { ReportedUse } from "../admission/mod.ts";
 import type { ReportedEnds } from "../quarantine/mod.ts";
-import type { LoadBoard } from "./load_board.ts";
+import type { LoadTracker } from "./load_tracker.ts";
 
 /** Maximum number of members named in a report, so that the report fits into one packet. */
 const MAX_GOSSIP_PER_REPORT = 12;
@@ -31,9 +31,9 @@
 /** Constructor arguments of {@linkcode ReportWriter}. */
 export interface ReportWriterParts {
   readonly fleet: FleetView;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   /** Returns the usage of teams at this instance. */
-  readonly listUses: (nowMs: number) => readonly ReportedUse[];
+  readonly listTeamUsage: (nowMs: number) => readonly ReportedUse[];
   /** Returns the limits that servers have advertised, to this instance or in its region. */
   readonly listLimits: (
     scope: FleetReport["scope"],
@@ -56,7 +56,7 @@
 /** Options for {@linkcode ReportWriter.createReport}. */
 export interface CreateReportOptions {
   /** Whether every few reports name members. Default: yes. */
-  readonly namesMembers?: boolean;
+  readonly includesMembers?: boolean;
   /** Whether the report requests summaries. Default: no. */
   readonly wantsSummary?: boolean;
 }
@@ -81,11 +81,12 @@
    */
   createReport(
     { ends = [], known, nowMs, prefixes }: ReportContent,
-    { namesMembers = true, wantsSummary = false }: CreateReportOptions = {},
+    { includesMembers: namesMembers = true, wantsSummary = false }:
+      CreateReportOptions = {},
   ): FleetReport {
     const sequence = ++this.#sequence;
-    const uses = this.#parts.listUses(nowMs);
-    this.#parts.fleet.uses.remember(sequence, uses);
+    const uses = this.#parts.listTeamUsage(nowMs);
+    this.#parts.fleet.teamUsage.remember(sequence, uses);
     const includesGossip = namesMembers &&
       sequence % GOSSIP_INTERVAL_REPORTS === 0;
     return {
@@ -95,7 +96,7 @@
       known,
       loads: this.#parts.loads.recordOwn(sequence),
       prefixes,
-      news: includesGossip
+      gossip: includesGossip
         ? this.#pickGossip(nowMs, MAX_GOSSIP_PER_REPORT)
         : [],
       ends,
@@ -110,7 +111,7 @@
   createAnswer(content: Omit<ReportContent, "prefixes">): FleetReport {
     return {
       ...this.createReport({ ...content, prefixes: [] }),
-      news: this.#pickGossip(content.nowMs, MAX_GOSSIP_PER_ANSWER),
+      gossip: this.#pickGossip(content.nowMs, MAX_GOSSIP_PER_ANSWER),
     };
   }
 
@@ -121,18 +122,18 @@
    * the local region.
    * @param input Content besides loads and members.
    */
-  createSum(
+  createAggregateReport(
     scope: "region" | "summary",
     { ends = [], known, nowMs, prefixes }: ReportContent,
   ): FleetReport {
-    const localMembers = this.#parts.fleet.listNearSeen(nowMs);
+    const localMembers = this.#parts.fleet.listLocalObservations(nowMs);
     const count = Math.max(
       MAX_GOSSIP_PER_REPORT,
       Math.ceil(localMembers.length / REPORTS_PER_ROUND),
     );
     const picked = pickRoundRobin(localMembers, this.#localGossipOffset, count);
     this.#localGossipOffset += count;
-    const { fleet, listLimits, listUses } = this.#parts;
+    const { fleet, listLimits, listTeamUsage: listUses } = this.#parts;
     return {
       from: this.#parts.fleet.self,
       sequence: ++this.#sequence,
@@ -140,9 +141,9 @@
       known,
       loads: this.#parts.loads.sumLocal(),
       prefixes,
-      news: picked.map(toGossip),
+      gossip: picked.map(toGossip),
       ends,
-      uses: fleet.uses.sumLocal(listUses(nowMs)),
+      uses: fleet.teamUsage.sumLocal(listUses(nowMs)),
       limits: listLimits(scope, nowMs),
       wantsNews: false,
     };
@@ -157,7 +158,7 @@
   }
 }
 
-function toGossip({ member, silentMs }: SeenMember): MemberGossip {
+function toGossip({ member, silentMs }: MemberObservation): MemberGossip {
   return { member, ageMs: silentMs };
 }
 
--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -4,7 +4,7 @@
   type ReportedUse,
 } from "../admission/mod.ts";
 import { type Clock, type Random, scheduleAfterReading } from "../clock/mod.ts";
-import type { FleetView, LoadBoard, ReportedPrefix } from "../fleet/mod.ts";
+import type { FleetView, LoadTracker, ReportedPrefix } from "../fleet/mod.ts";
 import {
   findHostHomes,
   type HostHomes,
@@ -22,26 +22,33 @@
   type ReportedEnds,
 } from "../quarantine/mod.ts";
 import type { RegisteredServer, ServerRegistry } from "../servers/mod.ts";
-import type { CallGrammar } from "./call_grammar.ts";
+import type { CallHeaderCodec } from "./call_header_codec.ts";
 import { CallGate } from "./call_gate.ts";
 import { CallReplies } from "./call_replies.ts";
 import { CallSender } from "./call_sender.ts";
-import { type NoPlace, PlaceChooser } from "./choose_place.ts";
+import {
+  DestinationChooser,
+  type NoDestination,
+} from "./choose_destination.ts";
 import { ServerChooser } from "./choose_server.ts";
 import type { Exchange } from "./exchange.ts";
 import { InstanceSender } from "./instance_sender.ts";
 import { LearnedServers } from "./learned_servers.ts";
 import type { CallHead, CallSink, OpaqueCall } from "./opaque_call.ts";
-import { describeServers, isHopeless, toNoRoomRefusal } from "./no_room.ts";
-import { placeParts } from "./prefix_memory.ts";
+import {
+  describeServers,
+  isWaitFutile,
+  toNoCapacityRefusal,
+} from "./no_capacity.ts";
+import { toKeyedParts } from "./prefix_cache_model.ts";
 import { QuarantineGuard } from "./quarantine_guard.ts";
 import type { Refusal } from "./refusal.ts";
-import { type RepeatBounds, RepeatBudgets } from "./repeat_budget.ts";
+import { FleetRetryBudgets, type RetryBounds } from "./fleet_retry_budget.ts";
 import type { ServerClient } from "./server_client.ts";
 import type { ServerLimits } from "./server_limits.ts";
 import { ServerSender } from "./server_sender.ts";
-import { NO_ROOM_RETRY_MS } from "./settle_attempt.ts";
-import { WaitingLine } from "./waiting_line.ts";
+import { NO_CAPACITY_RETRY_MS } from "./settle_attempt.ts";
+import { CapacityQueue } from "./capacity_queue.ts";
 import { describeTeamChanges } from "../teams/mod.ts";
 import type { WarmUpBounds } from "./warm_up_gate.ts";
 
@@ -67,22 +74,22 @@
 export interface CallForwarderParts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly grammar: CallGrammar;
+  readonly headerCodec: CallHeaderCodec;
   /** Sends to backend servers. */
   readonly client: ServerClient;
   /** Sends to other instances. */
   readonly peerClient: ServerClient;
   readonly registry: ServerRegistry;
   readonly fleet: FleetView;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  readonly repeatBounds: RepeatBounds;
+  readonly retryBounds: RetryBounds;
   readonly warmUpBounds: WarmUpBounds;
   /** How far usage may exceed the limits of teams. */
   readonly limitBounds: LimitBounds;
   /** Stores a quarantined call where instances that start later find it. Default: it is not stored. */
-  readonly keepRefusedCall?: ((ends: ReportedEnds) => void) | undefined;
+  readonly storeQuarantinedCall?: ((ends: ReportedEnds) => void) | undefined;
 }
 
 /** Accepts calls, sends each to a backend server or a remote instance, and passes on the answers. */
@@ -91,9 +98,9 @@
   readonly #replies: CallReplies;
   readonly #learned: LearnedServers;
   readonly #quarantineGuard: QuarantineGuard;
-  readonly #destinations: PlaceChooser;
-  readonly #waitingCalls: WaitingLine;
-  readonly #retryBudgets: RepeatBudgets;
+  readonly #destinations: DestinationChooser;
+  readonly #waitingCalls: CapacityQueue;
+  readonly #retryBudgets: FleetRetryBudgets;
   readonly #routeUsage = new RouteUse();
   readonly #sender: CallSender;
   readonly #teamLimits: FleetLimits;
@@ -105,15 +112,15 @@
   constructor(parts: CallForwarderParts) {
     const { fleet, loads, random, registry } = parts;
     this.#parts = parts;
-    this.#retryBudgets = new RepeatBudgets(parts.repeatBounds);
+    this.#retryBudgets = new FleetRetryBudgets(parts.retryBounds);
     this.#quarantineGuard = new QuarantineGuard(parts);
-    this.#waitingCalls = new WaitingLine(parts.clock);
+    this.#waitingCalls = new CapacityQueue(parts.clock);
     this.#teamLimits = new FleetLimits({
       ownRegion: fleet.self.region,
       startedMs: parts.clock.nowMs(),
       random,
       bounds: parts.limitBounds,
-      readOthers: (team) => fleet.uses.readOthers(team),
+      readOthers: (team) => fleet.teamUsage.readOthers(team),
     });
     this.#gate = new CallGate({ ...parts, limits: this.#teamLimits });
     this.#replies = new CallReplies({
@@ -133,7 +140,7 @@
       random,
       countOthers: () => fleet.countSharing(fleet.self.region) - 1,
     });
-    this.#destinations = new PlaceChooser({
+    this.#destinations = new DestinationChooser({
       fleet,
       servers,
       random,
@@ -157,7 +164,7 @@
         client: parts.peerClient,
         destinations: this.#destinations,
       }),
-      onServerFree: () => this.wake(),
+      onServerFree: () => this.wakeWaitingCalls(),
     });
   }
 
@@ -167,12 +174,12 @@
   }
 
   /** Stores all quarantined calls again, after the store has lost some. */
-  keepRefusedCalls(): void {
-    this.#quarantineGuard.keepAgain(this.#parts.clock.nowMs());
+  storeAllQuarantinedCallsAgain(): void {
+    this.#quarantineGuard.storeAllAgain(this.#parts.clock.nowMs());
   }
 
   /** Limits that servers advertise. */
-  get limits(): ServerLimits {
+  get serverLimits(): ServerLimits {
     return this.#learned.limits;
   }
 
@@ -211,28 +218,28 @@
   }
 
   /** Replaces the bounds on retries. The retries counted so far are forgotten. */
-  setRepeatBounds(bounds: RepeatBounds): void {
+  setRetryBounds(bounds: RetryBounds): void {
     this.#retryBudgets.setBounds(bounds);
   }
 
   /** Returns the usage of teams at this instance, for the next report. */
-  listUses(nowMs: number): readonly ReportedUse[] {
+  listTeamUsage(nowMs: number): readonly ReportedUse[] {
     return this.#teamLimits.listOwn(nowMs);
   }
 
   /** Updates the numbers of regions and instances among which the limits of teams are shared. */
-  countFleet(): void {
+  updateInstanceCounts(): void {
     const { clock, fleet } = this.#parts;
     const nowMs = clock.nowMs();
     this.#teamLimits.setCounts(
-      fleet.countRegions(nowMs),
-      fleet.namedCount,
+      fleet.countInstancesByRegion(nowMs),
+      fleet.registeredCount,
       nowMs,
     );
   }
 
   /** Wakes the first waiting calls, which then look for capacity again. */
-  wake(): void {
+  wakeWaitingCalls(): void {
     this.#waitingCalls.wakeFirst(CALLS_WOKEN_AT_ONCE);
   }
 
@@ -246,17 +253,17 @@
   }
 
   /** Returns the prompt parts sent since the last invocation, for the next report. */
-  takePrefixes(): readonly ReportedPrefix[] {
+  takeUnreportedPrefixes(): readonly ReportedPrefix[] {
     return this.#learned.takeUnreported();
   }
 
   /** Records prompt parts that other instances have sent to servers. */
-  learnPrefixes(prefixes: readonly ReportedPrefix[]): void {
-    this.#learned.learnPrefixes(prefixes);
+  recordPrefixes(prefixes: readonly ReportedPrefix[]): void {
+    this.#learned.recordPrefixes(prefixes);
   }
 
   /** Discards what is known of servers that are no longer registered. */
-  forgetGone(): void {
+  forgetUnregisteredServers(): void {
     const known = this.#parts.registry.servers.map(({ entry }) => entry.id);
     this.#learned.keepOnly(new Set<BackendId>(known));
   }
@@ -277,17 +284,17 @@
   }
 
   /** Returns why a call is refused before its body is read, or `undefined` if it is not. */
-  refuseUnread(call: CallHead): Refusal | undefined {
+  findHeadRefusal(call: CallHead): Refusal | undefined {
     if (this.#table === undefined) return undefined;
     const { configuration } = this.#table;
-    const facts = this.#parts.grammar.readCall(call.headers);
+    const facts = this.#parts.headerCodec.readCall(call.headers);
     const route = this.#table.findRoute(facts.host, call.target);
     return this.#gate.findHeadRefusal({ call, facts, route, configuration });
   }
 
   /** Returns the deadline of a call, in milliseconds on this instance's clock. */
-  findDueMs(call: OpaqueCall): number {
-    const facts = this.#parts.grammar.readCall(call.headers);
+  computeDeadlineMs(call: OpaqueCall): number {
+    const facts = this.#parts.headerCodec.readCall(call.headers);
     const route = this.#table?.findRoute(facts.host, call.target);
     return call.receivedMs + readRemainingMs({ call, facts, route });
   }
@@ -304,7 +311,7 @@
   }
 
   async #serve(call: OpaqueCall, sink: CallSink): Promise<void> {
-    const facts = this.#parts.grammar.readCall(call.headers);
+    const facts = this.#parts.headerCodec.readCall(call.headers);
     await this.#awaitConfiguration(call, sink);
     if (this.#table === undefined) {
       this.refuse(call, sink, {
@@ -407,7 +414,7 @@
 
   #createExchange(
     routed: RoutedCall,
-    dueMs: number,
+    deadlineMs: number,
     signal: AbortSignal,
   ): Exchange {
     const { call, facts, route } = routed;
@@ -416,8 +423,8 @@
     return {
       ...routed,
       content: new CallContent({ ...call, host: facts.host }),
-      parts: placeParts(facts.prompt?.parts ?? []),
-      dueMs,
+      promptParts: toKeyedParts(facts.prompt?.parts ?? []),
+      deadlineMs,
       signal,
       progress: {
         hasBegun: false,
@@ -448,7 +455,7 @@
       const { access: { rank }, route: { targetMs } } = exchange;
       const maxWaitMs = exchange.call.receivedMs +
         MAX_WAIT_TARGET_FRACTION * targetMs - nowMs;
-      if (isHopeless(destination, nowMs, maxWaitMs)) {
+      if (isWaitFutile(destination, nowMs, maxWaitMs)) {
         this.#refuseForCapacity(exchange, destination, nowMs);
         return;
       }
@@ -462,20 +469,20 @@
     this.#replies.finishUnanswered(exchange, {
       reason: exchange.mayHaveRun ? "timed-out" : "no-time",
       message: "The time of the call is over",
-      retryAfterMs: exchange.mayHaveRun ? undefined : NO_ROOM_RETRY_MS,
+      retryAfterMs: exchange.mayHaveRun ? undefined : NO_CAPACITY_RETRY_MS,
     });
   }
 
   #refuseForCapacity(
     exchange: Exchange,
-    destination: NoPlace,
+    destination: NoDestination,
     nowMs: number,
   ): void {
     const service = exchange.service.name;
     const known = { ...this.#parts, learned: this.#learned };
     this.#replies.finishUnanswered(
       exchange,
-      toNoRoomRefusal(service, destination, nowMs),
+      toNoCapacityRefusal(service, destination, nowMs),
       { servers: describeServers(service, nowMs, known) },
     );
   }
--- a/forwarding/call_forwarder_test.ts
+++ b/forwarding/call_forwarder_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom, VirtualClock } from "../clock/mod.ts";
-import { LoadBoard } from "../fleet/mod.ts";
+import { LoadTracker } from "../fleet/mod.ts";
 import { toRegionId } from "../ids/mod.ts";
 import { createSilentLogger } from "../logs/mod.ts";
 import { NO_METRICS } from "../metrics/mod.ts";
@@ -19,7 +19,7 @@
 } from "../tests/opaque_call_fixture.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import { CallForwarder } from "./call_forwarder.ts";
-import { OWN_GRAMMAR } from "./own_grammar.ts";
+import { GATEWAY_HEADER_CODEC } from "./gateway_header_codec.ts";
 import type { AnswerHead, ServerClient } from "./server_client.ts";
 
 /** Never answers the first send, and answers the others immediately. */
@@ -46,7 +46,7 @@
 function start(options: StartOptions = {}) {
   const { serverRegion = "north", peerClient = ANSWERING_CLIENT } = options;
   const clock = new VirtualClock();
-  const loads = new LoadBoard();
+  const loads = new LoadTracker();
   const fleet = createFleet(createMember("a"), loads);
   const registry = new ServerRegistry();
   const region = toRegionId(serverRegion);
@@ -54,7 +54,7 @@
   const forwarder = new CallForwarder({
     clock,
     random: createRandom(1),
-    grammar: OWN_GRAMMAR,
+    headerCodec: GATEWAY_HEADER_CODEC,
     client: ANSWERING_CLIENT,
     peerClient,
     registry,
@@ -62,7 +62,7 @@
     loads,
     logger: createSilentLogger(),
     metrics: NO_METRICS,
-    repeatBounds: { ratio: 0.2, slack: 50, windowMs: 10_000 },
+    retryBounds: { ratio: 0.2, slack: 50, windowMs: 10_000 },
     limitBounds: { windowMs: 8_000, overshoot: 0, slack: 0 },
     warmUpBounds: { overshoot: 1.5, slack: 3 },
   });
--- a/forwarding/call_gate.ts
+++ b/forwarding/call_gate.ts
@@ -5,7 +5,7 @@
 import { LineBudget, type Logger } from "../logs/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
 import { computeCallWeight, type Team } from "../teams/mod.ts";
-import type { CallFacts } from "./call_grammar.ts";
+import type { CallFacts } from "./call_header_codec.ts";
 import { type CallAccess, checkAccess } from "./check_access.ts";
 import type { CallHead } from "./opaque_call.ts";
 import type { Refusal } from "./refusal.ts";
--- a/forwarding/call_grammar.ts
+++ b/forwarding/call_header_codec.ts
@@ -51,7 +51,7 @@
   /** Team of the call; `undefined` if no team is sent. */
   readonly team: TeamId | undefined;
   /** Whether the caller's key is removed, because the gateway itself identifies callers. */
-  readonly keepsKeys: boolean;
+  readonly withholdsKeys: boolean;
 }
 
 /** Facts read from the head of a backend server's answer. */
@@ -63,16 +63,16 @@
   /** Whether the server reports that it did not run the call. */
   readonly isNotExecuted: boolean;
   /** Whether a server other than the intended one received the call, and did not run it. */
-  readonly isOtherServer: boolean;
+  readonly isMisdirected: boolean;
   /** Whether the body has a content encoding, so that its bytes are not those of the server. */
-  readonly isCoded: boolean;
+  readonly isContentEncoded: boolean;
   /** Whether the server reports that it is shutting down and must get no new calls. */
   readonly isLeaving: boolean;
   /**
    * Cool-down that the server requests from this instance when it refuses a call, in
    * milliseconds; `undefined` if it requests none.
    */
-  readonly restMs: number | undefined;
+  readonly cooldownMs: number | undefined;
   /**
    * Calls per second that the server accepts from all instances together; `undefined` if
    * it advertises no limit.
@@ -86,7 +86,7 @@
  * Reads and writes the headers of calls in one protocol. Only implementations know header
  * names; all other code works with the facts.
  */
-export interface CallGrammar {
+export interface CallHeaderCodec {
   /** Reads a caller's headers. */
   readCall(headers: RawHeaders): CallFacts;
   /**
--- a/forwarding/call_replies.ts
+++ b/forwarding/call_replies.ts
@@ -73,7 +73,7 @@
     this.count(exchange, refusal.reason);
     if (progress.hasBegun) {
       this.log(exchange, "answer broken off", { reason: refusal.reason });
-      sink.breakOff();
+      sink.abort();
       return;
     }
     if (exchange.heldAnswer !== undefined) {
--- a/forwarding/call_sender.ts
+++ b/forwarding/call_sender.ts
@@ -3,7 +3,7 @@
 import type { Metrics } from "../metrics/mod.ts";
 import type { CallQuarantine } from "../quarantine/mod.ts";
 import type { CallReplies } from "./call_replies.ts";
-import type { PlaceChooser } from "./choose_place.ts";
+import type { DestinationChooser } from "./choose_destination.ts";
 import {
   beginHandover,
   canBeHandedOver,
@@ -11,8 +11,8 @@
   type Exchange,
 } from "./exchange.ts";
 import type { InstanceSender } from "./instance_sender.ts";
-import { Handover, type HandoverEvents } from "./offer.ts";
-import type { RepeatBudgets } from "./repeat_budget.ts";
+import { Handover, type HandoverEvents } from "./handover.ts";
+import type { FleetRetryBudgets } from "./fleet_retry_budget.ts";
 import type { AttemptOutcome, EndedOutcome } from "./run_attempt.ts";
 import type { SendOptions, ServerSender } from "./server_sender.ts";
 import {
@@ -31,8 +31,8 @@
   readonly fleet: Pick<FleetView, "countSharing">;
   readonly metrics: Metrics;
   readonly replies: CallReplies;
-  readonly destinations: PlaceChooser;
-  readonly retryBudgets: RepeatBudgets;
+  readonly destinations: DestinationChooser;
+  readonly retryBudgets: FleetRetryBudgets;
   readonly quarantine: CallQuarantine;
   readonly serverSender: ServerSender;
   readonly instanceSender: InstanceSender;
--- a/forwarding/waiting_line.ts
+++ b/forwarding/capacity_queue.ts
@@ -7,7 +7,7 @@
 }
 
 /** Queue of calls that wait for capacity, ordered by urgency and then by waiting time. */
-export class WaitingLine {
+export class CapacityQueue {
   readonly #clock: Clock;
   #tickets: readonly Ticket[] = [];
   #order = 0;
--- a/forwarding/check_access.ts
+++ b/forwarding/check_access.ts
@@ -6,7 +6,7 @@
 } from "../http_routes/mod.ts";
 import type { RegionId } from "../ids/mod.ts";
 import { type IdentifiedTeam, identifyTeam, toDigest } from "../teams/mod.ts";
-import type { CallFacts } from "./call_grammar.ts";
+import type { CallFacts } from "./call_header_codec.ts";
 import type { CallOrigin } from "./opaque_call.ts";
 import type { Refusal } from "./refusal.ts";
 
--- a/forwarding/choose_place.ts
+++ b/forwarding/choose_destination.ts
@@ -13,7 +13,7 @@
 import type { Exchange } from "./exchange.ts";
 
 /** Where a call is sent next, or why it is sent nowhere now. */
-export type Place =
+export type Destination =
   | { readonly kind: "here"; readonly candidate: Candidate }
   | {
     readonly kind: "away";
@@ -42,7 +42,10 @@
   | { readonly kind: "no-server" };
 
 /** Why a call has no destination now. */
-export type NoPlace = Exclude<Place, { readonly kind: "here" | "away" }>;
+export type NoDestination = Exclude<
+  Destination,
+  { readonly kind: "here" | "away" }
+>;
 
 /**
  * Round trip to another region before it is measured, in milliseconds. The
@@ -67,7 +70,7 @@
 }
 
 /** Chooses between the servers of the local region and those of remote regions. */
-export class PlaceChooser {
+export class DestinationChooser {
   readonly #parts: DestinationChooserParts;
   readonly #roundTripMs = new Map<RegionId, number>();
   /** Prompt tokens of own calls in transit to remote regions; no load report includes them yet. */
@@ -84,7 +87,7 @@
    * @param exchange The call.
    * @param nowMs Time now.
    */
-  choose(exchange: Exchange, nowMs: number): Place {
+  choose(exchange: Exchange, nowMs: number): Destination {
     const own = this.#parts.fleet.self.region;
     const needs = toNeeds(exchange);
     const isForwarded = exchange.call.origin.kind === "instance";
@@ -135,7 +138,7 @@
    * Adds the prompt tokens of a call that is sent to another region. A negative number
    * takes them off again when the call has arrived.
    */
-  addUnderWay(region: RegionId, tokens: number): void {
+  addInTransit(region: RegionId, tokens: number): void {
     const sum = (this.#tokensInTransit.get(region) ?? 0) + tokens;
     this.#tokensInTransit.set(region, Math.max(0, sum));
   }
@@ -145,7 +148,7 @@
     needs: CallNeeds,
     regions: readonly RegionId[],
     nowMs: number,
-  ): Extract<Place, { kind: "away" }> | undefined {
+  ): Extract<Destination, { kind: "away" }> | undefined {
     const { fleet, random, servers } = this.#parts;
     const options = regions.flatMap((region) => {
       const candidate = servers.choose(needs, region, nowMs, {
@@ -153,7 +156,7 @@
         roundTripMs: this.readRoundTripMs(region),
       });
       if (candidate === undefined) return [];
-      const members = fleet.listFresh(region, nowMs)
+      const members = fleet.listResponsive(region, nowMs)
         .filter(({ id }) => !exchange.avoidedInstances.has(id));
       const member = pickRandom(members, random);
       if (member === undefined) return [];
@@ -167,7 +170,7 @@
     { service, tried }: Exchange,
     regions: readonly RegionId[],
     nowMs: number,
-  ): NoPlace {
+  ): NoDestination {
     const eligible = regions.flatMap((region) =>
       this.#parts.servers.listEligible(service.name, region, nowMs)
     );
@@ -209,8 +212,14 @@
 }
 
 function toNeeds(exchange: Exchange): CallNeeds {
-  const { facts, leastGapMs: maxTokenGapMs, parts, route, service, tried } =
-    exchange;
+  const {
+    facts,
+    leastGapMs: maxTokenGapMs,
+    promptParts: parts,
+    route,
+    service,
+    tried,
+  } = exchange;
   return {
     service,
     route: route.name,
--- a/forwarding/choose_server.ts
+++ b/forwarding/choose_server.ts
@@ -2,10 +2,10 @@
 import type { HttpService } from "../http_routes/mod.ts";
 import type { BackendId, RegionId } from "../ids/mod.ts";
 import { computeWeight } from "../membership/mod.ts";
-import type { LoadBoard } from "../fleet/mod.ts";
+import type { LoadTracker } from "../fleet/mod.ts";
 import type { KnownServer, ServerRegistry } from "../servers/mod.ts";
 import type { LearnedServers } from "./learned_servers.ts";
-import type { PlacedPart } from "./prefix_memory.ts";
+import type { KeyedPart } from "./prefix_cache_model.ts";
 
 /**
  * Calls that a plain server gets for each of its slots: one runs and one waits
@@ -43,7 +43,7 @@
  * as a fraction of its sequences. A sequence becomes free there sooner than another
  * engine could prefill the part, and that engine would evict another part for it.
  */
-const WAITING_PART_AT_HOLDER = 0.6;
+const WAITING_FRACTION_WITH_CACHE = 0.6;
 /** Time for which a short stream under load occupies one of an engine's sequences, in milliseconds. */
 const SEQUENCE_DURATION_MS = 480;
 /**
@@ -59,7 +59,7 @@
   readonly service: HttpService;
   /** Name of the route. */
   readonly route: string;
-  readonly parts: readonly PlacedPart[];
+  readonly parts: readonly KeyedPart[];
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   /** Response-time objective, in milliseconds. */
@@ -78,7 +78,7 @@
   /** The estimate plus what the call costs others, in milliseconds: the lowest cost wins. */
   readonly costMs: number;
   /** Tokens of the prompt that the server has to prefill. */
-  readonly unreadTokens: number;
+  readonly prefillTokens: number;
   /** Running streams that would stall for too long during the prefill. */
   readonly stalledStreams: number;
   /** Those of the tokens to prefill that other calls share. */
@@ -119,7 +119,7 @@
 export interface ServerChooserParts {
   readonly ownRegion: RegionId;
   readonly registry: ServerRegistry;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   readonly learned: LearnedServers;
   readonly random: Random;
   /** Returns how many other instances choose among the servers of the local region. */
@@ -191,7 +191,7 @@
     nowMs: number,
   ): Candidate | undefined {
     const { countOthers, learned, random } = this.#parts;
-    const maxJitterMs = learned.crowd.computeMaxMs(
+    const maxJitterMs = learned.costJitter.computeMaxMs(
       service,
       countOthers(),
       nowMs,
@@ -240,7 +240,7 @@
   }
 
   #isSilent(service: string, server: BackendId, nowMs: number): boolean {
-    const { loads, learned: { pulses, speeds } } = this.#parts;
+    const { loads, learned: { liveness: pulses, speeds } } = this.#parts;
     const { pendingTokens } = loads.readTotal(server);
     const estimateMs = speeds.estimateMs(server, service, pendingTokens);
     return pulses.isSilent(server, estimateMs, nowMs);
@@ -259,8 +259,8 @@
     if (!this.#isWithinBounds(server, service, nowMs)) return undefined;
     const load = loads.readTotal(entry.id);
     const cached = prefixes.countCachedTokens(entry.id, needs.parts);
-    const unreadTokens = Math.max(1, needs.promptTokens - cached);
-    const memoryTokens = unreadTokens + needs.maxOutputTokens;
+    const prefillTokens = Math.max(1, needs.promptTokens - cached);
+    const memoryTokens = prefillTokens + needs.maxOutputTokens;
     const uncachedSharedTokens = countShared(needs.parts) - cached;
     if (service.engine === undefined) {
       if (load.calls >= entry.slots * CALLS_PER_PLAIN_SLOT) return undefined;
@@ -270,7 +270,7 @@
       return {
         server,
         estimateMs,
-        unreadTokens,
+        prefillTokens,
         sharedPrefillTokens: 0,
         stalledStreams: 0,
         memoryTokens,
@@ -291,19 +291,19 @@
       : estimatePrefillMs(cached) - estimatePrefillMs(0) +
         SHARED_PREFILL_COST_MS_PER_TOKEN * cached;
     const maxCalls = waitMs < savedMs
-      ? maxSequences * (1 + WAITING_PART_AT_HOLDER)
+      ? maxSequences * (1 + WAITING_FRACTION_WITH_CACHE)
       : maxSequences;
     const isFull = load.calls >= maxCalls ||
       load.memoryTokens + memoryTokens > plannedFraction * cacheTokens;
     if (isFull && !isEmpty) return undefined;
     const estimateMs = waitMs +
-      estimatePrefillMs(load.pendingTokens + extraTokens + unreadTokens);
+      estimatePrefillMs(load.pendingTokens + extraTokens + prefillTokens);
     const maxTokenGapMs = needs.maxTokenGapMs ?? Number.POSITIVE_INFINITY;
     const prefillMs = estimateMs - waitMs - estimatePrefillMs(0);
     return {
       server,
       estimateMs,
-      unreadTokens,
+      prefillTokens,
       sharedPrefillTokens: Math.max(0, uncachedSharedTokens),
       stalledStreams: prefillMs > PREFILL_FRACTION_OF_GAP * maxTokenGapMs
         ? load.calls
@@ -334,7 +334,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function countShared(parts: readonly PlacedPart[]): number {
+function countShared(parts: readonly KeyedPart[]): number {
   return parts.filter(({ isShared }) => isShared)
     .reduce((sum, { tokens }) => sum + tokens, 0);
 }
--- a/forwarding/choose_server_test.ts
+++ b/forwarding/choose_server_test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { LoadBoard } from "../fleet/mod.ts";
+import { LoadTracker } from "../fleet/mod.ts";
 import type { HttpService } from "../http_routes/mod.ts";
 import { createRandom } from "../clock/mod.ts";
 import { toBackendId, toRegionId } from "../ids/mod.ts";
 import { ServerRegistry } from "../servers/mod.ts";
 import { type CallNeeds, ServerChooser } from "./choose_server.ts";
 import { LearnedServers } from "./learned_servers.ts";
-import { placeParts, type PrefixCacheModel } from "./prefix_memory.ts";
+import { type PrefixCacheModel, toKeyedParts } from "./prefix_cache_model.ts";
 import {
   createFleet,
   createMember,
@@ -25,7 +25,7 @@
 const PLAIN: HttpService = { ...ENGINES, name: "app", engine: undefined };
 
 function start(servers: readonly string[], coldForMs = 0) {
-  const loads = new LoadBoard();
+  const loads = new LoadTracker();
   const fleet = createFleet(createMember("self"), loads);
   const parts = {
     ownRegion: NORTH,
@@ -75,7 +75,7 @@
 
 const LONG = createNeeds({
   promptTokens: 17_000,
-  parts: placeParts([{ id: "shared", tokens: 13_000 }, {
+  parts: toKeyedParts([{ id: "shared", tokens: 13_000 }, {
     id: "own",
     tokens: 4_000,
   }]),
@@ -159,7 +159,7 @@
   });
 
   describe("when all sequences of an engine are taken", () => {
-    const take = (loads: LoadBoard, id: string, calls: number) =>
+    const take = (loads: LoadTracker, id: string, calls: number) =>
       loads.addOwn(toBackendId(id), {
         calls,
         pendingTokens: 0,
@@ -233,13 +233,13 @@
   });
 
   it("excludes a server that is silent while it has calls, until it sends a byte", () => {
-    const { choose, pulses } = start(["a", "b"]);
+    const { choose, liveness: pulses } = start(["a", "b"]);
     const first = toBackendId(choose(LONG)!);
     const call = pulses.begin(first, 0);
-    call.hear(100);
+    call.recordBytes(100);
     assert.equal(choose(LONG, 300), first);
     assert.notEqual(choose(LONG, 900), first);
-    call.hear(1_000);
+    call.recordBytes(1_000);
     assert.equal(choose(LONG, 1_010), first);
   });
 });
--- a/forwarding/crowd_spread_test.ts
+++ b/forwarding/cost_jitter_test.ts
@@ -1,7 +1,7 @@
 // Guards against herding: long prompts that arrived together queued at one engine while others were idle.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { CostJitter } from "./crowd_spread.ts";
+import { CostJitter } from "./cost_jitter.ts";
 
 /** Records `perSecond` sends a second over 5 s, each with a prefill of 10 ms. */
 function recordSends(perSecond: number): CostJitter {
--- a/forwarding/turn_gate.ts
+++ b/forwarding/event_loop_gate.ts
@@ -36,7 +36,7 @@
  * Without the gate, new connections wait for as long as the load lasts.
  * `daemon/overload_test.ts` plays this load.
  */
-export class TurnGate {
+export class EventLoopGate {
   readonly #clock: Clock;
   readonly #waiting: (() => void)[] = [];
   #begunCount = 0;
--- a/forwarding/turn_gate_test.ts
+++ b/forwarding/event_loop_gate_test.ts
@@ -2,11 +2,11 @@
 import { describe, it } from "node:test";
 import { setImmediate } from "node:timers/promises";
 import { SlowLoop } from "../tests/slow_loop.ts";
-import { TurnGate } from "./turn_gate.ts";
+import { EventLoopGate } from "./event_loop_gate.ts";
 
 function start() {
   const loop = new SlowLoop();
-  const gate = new TurnGate(loop);
+  const gate = new EventLoopGate(loop);
   const begun: number[] = [];
   const enter = (call: number) =>
     void gate.enter().then(() => begun.push(call));
--- a/forwarding/exchange.ts
+++ b/forwarding/exchange.ts
@@ -2,9 +2,9 @@
 import type { BackendId, InstanceId, RegionId } from "../ids/mod.ts";
 import type { CallContent } from "../quarantine/mod.ts";
 import type { CallAccess } from "./check_access.ts";
-import type { CallFacts } from "./call_grammar.ts";
+import type { CallFacts } from "./call_header_codec.ts";
 import type { CallSink, OpaqueCall } from "./opaque_call.ts";
-import type { PlacedPart } from "./prefix_memory.ts";
+import type { KeyedPart } from "./prefix_cache_model.ts";
 import type { HeldAnswer, StreamProgress } from "./run_attempt.ts";
 
 /** One call that is being served, with its state so far. */
@@ -17,11 +17,11 @@
   readonly route: HttpRoute;
   readonly service: HttpService;
   readonly sink: CallSink;
-  readonly parts: readonly PlacedPart[];
+  readonly promptParts: readonly KeyedPart[];
   /** Maximum gap between tokens in streams of the service, in milliseconds: the strictest of its routes. */
   readonly leastGapMs: number | undefined;
   /** Deadline of the call, in milliseconds on this instance's clock. */
-  readonly dueMs: number;
+  readonly deadlineMs: number;
   /** Aborts when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
   readonly progress: StreamProgress;
--- a/forwarding/repeat_budget.ts
+++ b/forwarding/fleet_retry_budget.ts
@@ -1,7 +1,7 @@
 import { SlidingCount } from "../clock/mod.ts";
 
 /** Bound on the retries of all instances together: the sends beyond the first one of each call. */
-export interface RepeatBounds {
+export interface RetryBounds {
   /** Number of retries for each call. */
   readonly ratio: number;
   /** Number of retries in addition to those, in one window. */
@@ -20,13 +20,13 @@
  * depends on the number of live instances, so that the sum of all shares never exceeds
  * the bound.
  */
-export class RetryBudget {
-  readonly #bounds: RepeatBounds;
+export class FleetRetryBudget {
+  readonly #bounds: RetryBounds;
   readonly #calls: SlidingCount;
   readonly #retries: SlidingCount;
 
   /** @param bounds Bound on the retries of all instances together. */
-  constructor(bounds: RepeatBounds) {
+  constructor(bounds: RetryBounds) {
     this.#bounds = bounds;
     this.#calls = new SlidingCount(bounds.windowMs);
     this.#retries = new SlidingCount(bounds.windowMs);
@@ -54,17 +54,17 @@
 }
 
 /** The shares of one instance in the bounds on retries, by service. */
-export class RepeatBudgets {
-  readonly #byService = new Map<string, RetryBudget>();
-  #bounds: RepeatBounds;
+export class FleetRetryBudgets {
+  readonly #byService = new Map<string, FleetRetryBudget>();
+  #bounds: RetryBounds;
 
   /** @param bounds Bound on the retries of all instances together, for each service. */
-  constructor(bounds: RepeatBounds) {
+  constructor(bounds: RetryBounds) {
     this.#bounds = bounds;
   }
 
   /** Replaces the bounds, and resets the counts of calls and retries. */
-  setBounds(bounds: RepeatBounds): void {
+  setBounds(bounds: RetryBounds): void {
     this.#bounds = bounds;
     this.#byService.clear();
   }
@@ -85,9 +85,9 @@
     return this.#find(service).take(nowMs, instances);
   }
 
-  #find(service: string): RetryBudget {
+  #find(service: string): FleetRetryBudget {
     const known = this.#byService.get(service) ??
-      new RetryBudget(this.#bounds);
+      new FleetRetryBudget(this.#bounds);
     this.#byService.set(service, known);
     return known;
   }
--- a/forwarding/repeat_budget_test.ts
+++ b/forwarding/fleet_retry_budget_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import fc from "fast-check";
-import { RetryBudget } from "./repeat_budget.ts";
+import { FleetRetryBudget } from "./fleet_retry_budget.ts";
 
 const BOUNDS = { ratio: 0.2, slack: 58, windowMs: 10_000 };
 
@@ -19,7 +19,7 @@
       fc.assert(fc.property(steps, (list) => {
         const budgets = Array.from(
           { length: 4 },
-          () => new RetryBudget(BOUNDS),
+          () => new FleetRetryBudget(BOUNDS),
         );
         const calls: number[] = [];
         const repeats: number[] = [];
@@ -47,7 +47,11 @@
   });
 
   it("allows retries again when the window has passed", () => {
-    const budget = new RetryBudget({ ratio: 0, slack: 10, windowMs: 10_000 });
+    const budget = new FleetRetryBudget({
+      ratio: 0,
+      slack: 10,
+      windowMs: 10_000,
+    });
     const taken = Array.from({ length: 20 }, () => budget.take(1_000, 1));
     assert.equal(taken.filter((isTaken) => isTaken).length, 7);
     assert.equal(budget.take(6_000, 1), false);
--- a/forwarding/own_grammar.ts
+++ b/forwarding/gateway_header_codec.ts
@@ -1,10 +1,10 @@
 import type {
   AnswerFacts,
   CallFacts,
-  CallGrammar,
+  CallHeaderCodec,
   RawHeaders,
   SendFacts,
-} from "./call_grammar.ts";
+} from "./call_header_codec.ts";
 import { isHopHeader } from "./hop_headers.ts";
 import {
   listHeaders,
@@ -38,7 +38,7 @@
 const UNAVAILABLE = 503;
 
 /** The gateway's own headers, for deployments that have no other convention. */
-export const OWN_GRAMMAR: CallGrammar = {
+export const GATEWAY_HEADER_CODEC: CallHeaderCodec = {
   readCall(headers: RawHeaders): CallFacts {
     const remaining = readHeader(headers, REMAINING_MS);
     const remainingMs = Number(remaining);
@@ -57,7 +57,7 @@
   writeSend(headers: RawHeaders, facts: SendFacts): string[] {
     const kept = pickForwarded(headers, (name) => {
       const isReplaced = name === REMAINING_MS || name === SERVER_ID ||
-        name === TEAM || (name === AUTHORIZATION && facts.keepsKeys) ||
+        name === TEAM || (name === AUTHORIZATION && facts.withholdsKeys) ||
         (name === LAST_EVENT_ID && facts.lastEventId !== undefined);
       return isReplaced || isHopHeader(name) ? "never" : "unless-named";
     });
@@ -76,10 +76,10 @@
       // These servers do not sign answers; every answer is taken as the server's own.
       isSigned: true,
       isNotExecuted: readHeader(headers, NOT_RUN) !== undefined,
-      isOtherServer: status === MISDIRECTED,
-      isCoded: false,
+      isMisdirected: status === MISDIRECTED,
+      isContentEncoded: false,
       isLeaving: readHeader(headers, LEAVING) !== undefined,
-      restMs: status === UNAVAILABLE
+      cooldownMs: status === UNAVAILABLE
         ? parseRetryAfterMs(readHeader(headers, RETRY_AFTER))
         : undefined,
       limitPerSecond: parseAmount(readHeader(headers, CALL_LIMIT)),
--- a/forwarding/offer_test.ts
+++ b/forwarding/handover_test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from "../clock/mod.ts";
 import { createMember } from "../tests/member_fixture.ts";
 import { toRegionId } from "../ids/mod.ts";
-import { Handover } from "./offer.ts";
+import { Handover } from "./handover.ts";
 import type { AttemptOutcome } from "./run_attempt.ts";
 import type { SendDestination } from "./settle_attempt.ts";
 
--- a/forwarding/hop_headers.ts
+++ b/forwarding/hop_headers.ts
@@ -7,7 +7,7 @@
   toTeamId,
 } from "../ids/mod.ts";
 import type { IdentifiedTeam } from "../teams/mod.ts";
-import type { RawHeaders } from "./call_grammar.ts";
+import type { RawHeaders } from "./call_header_codec.ts";
 import { readHeader } from "./http_headers.ts";
 
 /** Header that the first instance adds to a call that it forwards. */
--- a/forwarding/http_headers.ts
+++ b/forwarding/http_headers.ts
@@ -1,4 +1,4 @@
-import type { RawHeaders } from "./call_grammar.ts";
+import type { RawHeaders } from "./call_header_codec.ts";
 
 /** Headers that concern only one connection (RFC 9110, section 7.6.1) or its framing. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
--- a/forwarding/instance_sender.ts
+++ b/forwarding/instance_sender.ts
@@ -1,12 +1,12 @@
 import type { Clock } from "../clock/mod.ts";
 import type { FleetView } from "../fleet/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
-import type { CallGrammar } from "./call_grammar.ts";
-import type { Place, PlaceChooser } from "./choose_place.ts";
+import type { CallHeaderCodec } from "./call_header_codec.ts";
+import type { Destination, DestinationChooser } from "./choose_destination.ts";
 import { type Exchange, isRetryable } from "./exchange.ts";
 import { isHopHeader, readHopAnswer, writeHop } from "./hop_headers.ts";
 import { pickForwarded } from "./http_headers.ts";
-import { computeFirstByteTimeoutMs } from "./read_patience.ts";
+import { computeFirstByteTimeoutMs } from "./compute_first_byte_timeout.ts";
 import { type AttemptOutcome, runAttempt } from "./run_attempt.ts";
 import type { ServerClient } from "./server_client.ts";
 import type { SendOptions } from "./server_sender.ts";
@@ -19,12 +19,12 @@
 /** Dependencies of an {@linkcode InstanceSender}. */
 export interface InstanceSenderParts {
   readonly clock: Clock;
-  readonly grammar: CallGrammar;
+  readonly headerCodec: CallHeaderCodec;
   readonly client: ServerClient;
   readonly fleet: FleetView;
   readonly metrics: Metrics;
   /** Records the round trip to each region and the prompt tokens in transit to it. */
-  readonly destinations: PlaceChooser;
+  readonly destinations: DestinationChooser;
 }
 
 /** Forwards calls to instances of remote regions. A call is forwarded at most once. */
@@ -45,25 +45,25 @@
    */
   async send(
     exchange: Exchange,
-    destination: Extract<Place, { kind: "away" }>,
+    destination: Extract<Destination, { kind: "away" }>,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
-    const { clock, fleet, grammar, metrics, destinations } = this.#parts;
+    const { clock, fleet, headerCodec, metrics, destinations } = this.#parts;
     const { call, facts, progress } = exchange;
     const { candidate, member, region } = destination;
     const startMs = clock.nowMs();
     const service = exchange.service.name;
     metrics.count("call.away", 1, { service, region });
-    destinations.addUnderWay(region, candidate.unreadTokens);
+    destinations.addInTransit(region, candidate.prefillTokens);
     let isInTransit = true;
     const endTransit = () => {
       if (!isInTransit) return;
       isInTransit = false;
-      destinations.addUnderWay(region, -candidate.unreadTokens);
+      destinations.addInTransit(region, -candidate.prefillTokens);
     };
     const outcome = await runAttempt({
       client: this.#parts.client,
-      grammar,
+      headerCodec,
       sink: exchange.sink,
       request: {
         address: member.address,
@@ -78,7 +78,7 @@
           ...writeHop({
             from: fleet.self.id,
             service: exchange.service.name,
-            remainingMs: Math.max(1, exchange.dueMs - startMs),
+            remainingMs: Math.max(1, exchange.deadlineMs - startMs),
             resumeAfter: progress.lastEventId,
             tried: [...exchange.tried],
             configurationVersion: exchange.access.configurationVersion,
--- a/forwarding/learned_servers.ts
+++ b/forwarding/learned_servers.ts
@@ -1,12 +1,12 @@
 import { PrefixQueue, type ReportedPrefix } from "../fleet/mod.ts";
 import type { BackendId } from "../ids/mod.ts";
-import { CostJitter } from "./crowd_spread.ts";
-import type { PlacedPart } from "./prefix_memory.ts";
-import { PrefixCacheModel } from "./prefix_memory.ts";
+import { CostJitter } from "./cost_jitter.ts";
+import type { KeyedPart } from "./prefix_cache_model.ts";
+import { PrefixCacheModel } from "./prefix_cache_model.ts";
 import { ServerHealth } from "./server_health.ts";
 import { ServerLimits } from "./server_limits.ts";
-import { ServerLiveness } from "./server_pulses.ts";
-import { ServerSpeeds } from "./server_speed.ts";
+import { ServerLiveness } from "./server_liveness.ts";
+import { ServerSpeeds } from "./server_speeds.ts";
 import { LimitGate, type LimitGateParts } from "./limit_gate.ts";
 import { type WarmUpBounds, WarmUpGate } from "./warm_up_gate.ts";
 
@@ -33,10 +33,10 @@
 export class LearnedServers {
   readonly speeds = new ServerSpeeds();
   readonly health = new ServerHealth();
-  readonly pulses = new ServerLiveness();
+  readonly liveness = new ServerLiveness();
   readonly limits = new ServerLimits();
   readonly prefixes = new PrefixCacheModel();
-  readonly crowd = new CostJitter();
+  readonly costJitter = new CostJitter();
   readonly warmUp: WarmUpGate;
   readonly limitGate: LimitGate;
   readonly #readMemoryTokens: (server: BackendId) => number;
@@ -58,7 +58,7 @@
    * @param server The engine.
    * @param parts The prompt parts that it prefills or finds in its cache.
    */
-  recordSent(server: BackendId, parts: readonly PlacedPart[]): void {
+  recordSent(server: BackendId, parts: readonly KeyedPart[]): void {
     const sent = parts.map(({ key, isShared, tokens }) => ({
       server,
       part: isShared ? key : undefined,
@@ -69,7 +69,7 @@
   }
 
   /** Records prompt parts that engines are reported to have cached. */
-  learnPrefixes(prefixes: readonly ReportedPrefix[]): void {
+  recordPrefixes(prefixes: readonly ReportedPrefix[]): void {
     prefixes.forEach(({ server, part, tokens }) =>
       this.#learnPart(server, {
         key: part ?? `unshared ${this.#unsharedCount++}`,
@@ -85,7 +85,7 @@
 
   #learnPart(
     server: BackendId,
-    part: Pick<PlacedPart, "key" | "tokens">,
+    part: Pick<KeyedPart, "key" | "tokens">,
   ): void {
     const capacityTokens = CACHED_MEMORY_FRACTION *
       this.#readMemoryTokens(server);
@@ -94,8 +94,15 @@
 
   /** Removes what is known of all servers but the given ones. */
   keepOnly(servers: ReadonlySet<BackendId>): void {
-    const { health, limitGate, limits, prefixes, pulses, speeds, warmUp } =
-      this;
+    const {
+      health,
+      limitGate,
+      limits,
+      prefixes,
+      liveness: pulses,
+      speeds,
+      warmUp,
+    } = this;
     [speeds, health, pulses, limits, limitGate, prefixes, warmUp]
       .forEach((each) => each.keepOnly(servers));
   }
--- a/forwarding/limit_gate_test.ts
+++ b/forwarding/limit_gate_test.ts
@@ -24,7 +24,7 @@
   const fleet = createSharing(self, known);
   const limits = new ServerLimits();
   const name = (limit: number | undefined, atMs: number) =>
-    limits.hear(SERVER, { perSecond: limit, sentMs: atMs }, atMs);
+    limits.recordAdvertised(SERVER, { perSecond: limit, sentMs: atMs }, atMs);
   name(perSecond, 0);
   return { gate: new LimitGate({ fleet, limits }), fleet, name };
 }
--- a/forwarding/no_room.ts
+++ b/forwarding/no_capacity.ts
@@ -1,9 +1,9 @@
-import type { FleetView, LoadBoard } from "../fleet/mod.ts";
+import type { FleetView, LoadTracker } from "../fleet/mod.ts";
 import type { ServerRegistry } from "../servers/mod.ts";
-import type { NoPlace } from "./choose_place.ts";
+import type { NoDestination } from "./choose_destination.ts";
 import type { LearnedServers } from "./learned_servers.ts";
 import type { Refusal } from "./refusal.ts";
-import { NO_ROOM_RETRY_MS } from "./settle_attempt.ts";
+import { NO_CAPACITY_RETRY_MS } from "./settle_attempt.ts";
 
 /**
  * Returns whether it is futile to let a call wait that has no destination now. No server
@@ -14,8 +14,8 @@
  * @param nowMs Time now.
  * @param maxWaitMs How long the call may still wait, in milliseconds.
  */
-export function isHopeless(
-  place: NoPlace,
+export function isWaitFutile(
+  place: NoDestination,
   nowMs: number,
   maxWaitMs: number,
 ): boolean {
@@ -38,20 +38,23 @@
  * @param place Why the call has no destination.
  * @param nowMs Time now.
  */
-export function toNoRoomRefusal(
+export function toNoCapacityRefusal(
   service: string,
-  place: NoPlace,
+  place: NoDestination,
   nowMs: number,
 ): Refusal {
   const comeBackMs = "untilMs" in place ? place.untilMs - nowMs : 0;
   return {
     reason: "no-room",
     message: describeNoCapacity(service, place.kind),
-    retryAfterMs: Math.max(NO_ROOM_RETRY_MS, comeBackMs),
+    retryAfterMs: Math.max(NO_CAPACITY_RETRY_MS, comeBackMs),
   };
 }
 
-function describeNoCapacity(service: string, kind: NoPlace["kind"]): string {
+function describeNoCapacity(
+  service: string,
+  kind: NoDestination["kind"],
+): string {
   switch (kind) {
     case "wait":
       return `Every server of "${service}" is full`;
@@ -69,7 +72,7 @@
 /** What the state of servers is described from. */
 export interface ServerStateSources {
   readonly fleet: Pick<FleetView, "self">;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   readonly registry: ServerRegistry;
   readonly learned: Pick<LearnedServers, "health" | "limits">;
 }
--- a/forwarding/opaque_call.ts
+++ b/forwarding/opaque_call.ts
@@ -1,4 +1,4 @@
-import type { RawHeaders } from "./call_grammar.ts";
+import type { RawHeaders } from "./call_header_codec.ts";
 import type { Hop } from "./hop_headers.ts";
 import type { AnswerHead } from "./server_client.ts";
 
@@ -46,5 +46,5 @@
   /** Ends a complete answer. */
   end(trailers: RawHeaders): void;
   /** Ends an incomplete answer so that the caller can tell that it is incomplete. */
-  breakOff(): void;
+  abort(): void;
 }
--- a/forwarding/prefix_memory.ts
+++ b/forwarding/prefix_cache_model.ts
@@ -1,6 +1,6 @@
 import type { ReportedPrefix } from "../fleet/mod.ts";
 import type { BackendId } from "../ids/mod.ts";
-import type { PromptPart } from "./call_grammar.ts";
+import type { PromptPart } from "./call_header_codec.ts";
 import { forgetOthers } from "./forget_others.ts";
 
 /**
@@ -10,14 +10,14 @@
 export const MIN_PART_TOKENS = 256;
 
 /** Prompt parts that an engine reports to have cached. */
-export interface HeldParts {
+export interface CachedParts {
   readonly parts: readonly PromptPart[];
   /** When the engine started, where it reports that too. */
   readonly startedMs: number | undefined;
 }
 
 /** A prompt part with its position: a part is cached only together with all parts before it. */
-export interface PlacedPart {
+export interface KeyedPart {
   /** Identifies this part and all parts before it. */
   readonly key: string;
   readonly tokens: number;
@@ -31,9 +31,9 @@
  *
  * @param parts All parts of the prompt, in order.
  */
-export function placeParts(
+export function toKeyedParts(
   parts: readonly PromptPart[],
-): readonly PlacedPart[] {
+): readonly KeyedPart[] {
   let key = "";
   return parts.map(({ id, tokens }, index) => {
     key = key === "" ? id : `${key}.${id}`;
@@ -50,7 +50,7 @@
  * @param server The engine.
  * @param reported The parts that it reports.
  */
-export function toHeldPrefixes(
+export function toCachedPrefixes(
   server: BackendId,
   reported: readonly PromptPart[],
 ): readonly ReportedPrefix[] {
@@ -68,7 +68,7 @@
   readonly #tokens = new Map<BackendId, number>();
 
   /** Returns how many tokens of a prompt a server has cached and needn't prefill. */
-  countCachedTokens(server: BackendId, parts: readonly PlacedPart[]): number {
+  countCachedTokens(server: BackendId, parts: readonly KeyedPart[]): number {
     const cache = this.#byServer.get(server);
     if (cache === undefined) return 0;
     let cached = 0;
@@ -88,7 +88,7 @@
    */
   record(
     server: BackendId,
-    part: Pick<PlacedPart, "key" | "tokens">,
+    part: Pick<KeyedPart, "key" | "tokens">,
     capacityTokens: number,
   ): void {
     const cache = this.#byServer.get(server) ?? new Map<string, number>();
--- a/forwarding/prefix_memory_test.ts
+++ b/forwarding/prefix_cache_model_test.ts
@@ -2,16 +2,16 @@
 import { describe, it } from "node:test";
 import { toBackendId } from "../ids/mod.ts";
 import {
-  placeParts,
   PrefixCacheModel,
-  toHeldPrefixes,
-} from "./prefix_memory.ts";
+  toCachedPrefixes,
+  toKeyedParts,
+} from "./prefix_cache_model.ts";
 
 const SERVER = toBackendId("s1");
 
 describe("placeParts()", () => {
   it("keys a part by all parts before it, and omits small ones", () => {
-    const placed = placeParts([
+    const placed = toKeyedParts([
       { id: "a", tokens: 800 },
       { id: "b", tokens: 10 },
       { id: "c", tokens: 500 },
@@ -26,7 +26,7 @@
 describe("PrefixMemory", () => {
   it("counts a part as cached only together with all parts before it", () => {
     const memory = new PrefixCacheModel();
-    const parts = placeParts([{ id: "a", tokens: 800 }, {
+    const parts = toKeyedParts([{ id: "a", tokens: 800 }, {
       id: "b",
       tokens: 500,
     }]);
@@ -38,9 +38,9 @@
 
   it("evicts the least recently used part", () => {
     const memory = new PrefixCacheModel();
-    const [a] = placeParts([{ id: "a", tokens: 600 }]);
-    const [b] = placeParts([{ id: "b", tokens: 600 }]);
-    const [c] = placeParts([{ id: "c", tokens: 600 }]);
+    const [a] = toKeyedParts([{ id: "a", tokens: 600 }]);
+    const [b] = toKeyedParts([{ id: "b", tokens: 600 }]);
+    const [c] = toKeyedParts([{ id: "c", tokens: 600 }]);
     memory.record(SERVER, a!, 1_300);
     memory.record(SERVER, b!, 1_300);
     memory.record(SERVER, a!, 1_300);
@@ -53,7 +53,7 @@
 describe("toHeldPrefixes()", () => {
   it("omits small parts and puts the largest last, so that it is evicted last", () => {
     const engine = toBackendId("e1");
-    const prefixes = toHeldPrefixes(engine, [
+    const prefixes = toCachedPrefixes(engine, [
       { id: "large", tokens: 13_000 },
       { id: "tiny", tokens: 40 },
       { id: "own", tokens: 4_000 },
@@ -63,7 +63,7 @@
     prefixes.forEach(({ part, tokens }) =>
       memory.record(engine, { key: part!, tokens }, 13_500)
     );
-    const parts = placeParts([{ id: "large", tokens: 13_000 }]);
+    const parts = toKeyedParts([{ id: "large", tokens: 13_000 }]);
     assert.equal(memory.countCachedTokens(engine, parts), 13_000);
   });
 });
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -12,7 +12,7 @@
 export interface QuarantineGuardParts {
   readonly logger: Logger;
   /** Stores a quarantined call where instances that start later find it. Default: it isn't stored. */
-  readonly keepRefusedCall?: ((ends: ReportedEnds) => void) | undefined;
+  readonly storeQuarantinedCall?: ((ends: ReportedEnds) => void) | undefined;
 }
 
 /** A call that is being served, and a function that aborts it. */
@@ -67,14 +67,14 @@
   }
 
   /** Stores all quarantined calls again, after the store has lost some. */
-  keepAgain(nowMs: number): void {
+  storeAllAgain(nowMs: number): void {
     const { heldCount } = this.quarantine;
     this.quarantine.listHeldInTurn(heldCount, nowMs)
-      .forEach((ends) => this.#parts.keepRefusedCall?.(ends));
+      .forEach((ends) => this.#parts.storeQuarantinedCall?.(ends));
   }
 
   #handleQuarantined(quarantined: HeldCall): void {
-    const { keepRefusedCall, logger } = this.#parts;
+    const { storeQuarantinedCall: keepRefusedCall, logger } = this.#parts;
     const { call, isSeenHere, servers } = quarantined;
     logger.warn("call quarantined", {
       content: call,
--- a/forwarding/run_attempt.ts
+++ b/forwarding/run_attempt.ts
@@ -1,9 +1,13 @@
 import { type Clock, scheduleAfterReading } from "../clock/mod.ts";
-import type { AnswerFacts, CallGrammar, RawHeaders } from "./call_grammar.ts";
+import type {
+  AnswerFacts,
+  CallHeaderCodec,
+  RawHeaders,
+} from "./call_header_codec.ts";
 import { EventFramer } from "./event_framer.ts";
 import { isHopHeader, readHopAnswer } from "./hop_headers.ts";
 import { pickForwarded } from "./http_headers.ts";
-import type { Handover, HandoverEvents } from "./offer.ts";
+import type { Handover, HandoverEvents } from "./handover.ts";
 import type { CallSink } from "./opaque_call.ts";
 import type {
   ActiveSend,
@@ -75,7 +79,7 @@
 /** Inputs of {@linkcode runAttempt}: one send, and how its answer is handled. */
 export interface AttemptParts {
   readonly client: ServerClient;
-  readonly grammar: CallGrammar;
+  readonly headerCodec: CallHeaderCodec;
   readonly sink: CallSink;
   readonly request: SendRequest;
   readonly callId: string;
@@ -184,9 +188,9 @@
   onHead(head: AnswerHead): void {
     if (this.#isFinished) return;
     this.#parts.onActivity?.();
-    const { callId, grammar, holdsFailures, isHop } = this.#parts;
+    const { callId, headerCodec, holdsFailures, isHop } = this.#parts;
     this.#parts.onHeaders?.(head.headers);
-    const facts = grammar.readAnswer(head.status, head.headers);
+    const facts = headerCodec.readAnswer(head.status, head.headers);
     this.#parts.onFacts?.(facts);
     const hopAnswer = isHop ? readHopAnswer(head.headers) : undefined;
     if (hopAnswer?.kind === "not-run") {
@@ -208,13 +212,13 @@
       this.#abortAnswer(`The answer belongs to call "${facts.callId}"`);
       return;
     }
-    if (facts.isNotExecuted || facts.isOtherServer) {
+    if (facts.isNotExecuted || facts.isMisdirected) {
       // The send is not aborted: the body of a rejection is short, and reading it to its
       // end keeps the connection open for other calls.
       this.#finish({
         kind: "rejected",
-        isMisdirected: facts.isOtherServer,
-        cooldownMs: facts.restMs,
+        isMisdirected: facts.isMisdirected,
+        cooldownMs: facts.cooldownMs,
         sends: 1,
       });
       return;
@@ -226,7 +230,7 @@
       return;
     }
     const isSuccess = head.status >= 200 && head.status < 300;
-    if (isSuccess && (!facts.isSigned || facts.isCoded)) {
+    if (isSuccess && (!facts.isSigned || facts.isContentEncoded)) {
       this.#abortAnswer(
         "The answer is unsigned or content-encoded, so not the server's own",
       );
--- a/forwarding/server_client.ts
+++ b/forwarding/server_client.ts
@@ -1,4 +1,4 @@
-import type { RawHeaders } from "./call_grammar.ts";
+import type { RawHeaders } from "./call_header_codec.ts";
 
 /** One send of a call over a connection. */
 export interface SendRequest {
--- a/forwarding/server_health.ts
+++ b/forwarding/server_health.ts
@@ -94,7 +94,7 @@
    * @param nowMs Time now.
    * @returns Whether the server was not cooling down before.
    */
-  rest(server: BackendId, untilMs: number, nowMs: number): boolean {
+  startCooldown(server: BackendId, untilMs: number, nowMs: number): boolean {
     const health = this.#byServer.get(server) ?? createHealth();
     this.#byServer.set(server, health);
     const isNew = health.cooldownUntilMs <= nowMs;
--- a/forwarding/server_health_test.ts
+++ b/forwarding/server_health_test.ts
@@ -48,17 +48,17 @@
   describe("when a server asks for a cool-down", () => {
     it("keeps the cool-down whatever the server answers", () => {
       const health = recordOutcomes("answered");
-      assert.ok(health.rest(SERVER, 3_000, 0));
+      assert.ok(health.startCooldown(SERVER, 3_000, 0));
       health.record(SERVER, { outcome: "answered", route: "r" }, 100);
       assert.equal(health.readCooldownUntilMs(SERVER), 3_000);
     });
 
     it("keeps the longer of two overlapping cool-downs, and reports only the first as new", () => {
       const health = recordOutcomes();
-      assert.ok(health.rest(SERVER, 3_000, 0));
-      assert.ok(!health.rest(SERVER, 1_000, 100));
+      assert.ok(health.startCooldown(SERVER, 3_000, 0));
+      assert.ok(!health.startCooldown(SERVER, 1_000, 100));
       assert.equal(health.readCooldownUntilMs(SERVER), 3_000);
-      assert.ok(health.rest(SERVER, 5_000, 4_000));
+      assert.ok(health.startCooldown(SERVER, 5_000, 4_000));
     });
   });
 });
--- a/forwarding/server_limits.ts
+++ b/forwarding/server_limits.ts
@@ -69,7 +69,7 @@
    * @param nowMs Time now.
    * @returns Whether the limit has changed.
    */
-  hear(
+  recordAdvertised(
     server: BackendId,
     { perSecond, sentMs }: AdvertisedLimit,
     nowMs: number,
@@ -93,7 +93,7 @@
    * @param nowMs Time now.
    * @returns The rows that changed a limit.
    */
-  learn(
+  recordReported(
     limits: readonly ReportedLimit[],
     source: Exclude<LimitSource, "own">,
     nowMs: number,
--- a/forwarding/server_pulses.ts
+++ b/forwarding/server_liveness.ts
@@ -32,7 +32,7 @@
 /** A call in flight at a server. */
 export interface TrackedCall {
   /** Records that bytes of the answer were received. */
-  readonly hear: (nowMs: number) => void;
+  readonly recordBytes: (nowMs: number) => void;
   /** Records that the call has ended. */
   readonly end: () => void;
 }
@@ -63,7 +63,7 @@
     activity.sends.add(sent);
     let hasBegun = false;
     return {
-      hear: (receivedMs) => {
+      recordBytes: (receivedMs) => {
         activity.lastByteMs = receivedMs;
         if (!hasBegun) activity.begunAnswers++;
         hasBegun = true;
@@ -92,7 +92,7 @@
    * Returns whether a server that streams answers has been silent for so long that its
    * streams are to be resumed elsewhere.
    */
-  isGone(server: BackendId, nowMs: number): boolean {
+  isDead(server: BackendId, nowMs: number): boolean {
     return this.#isStreaming(server) &&
       this.#readSilenceMs(server, nowMs) > DEAD_SILENCE_MS;
   }
--- a/forwarding/server_pulses_test.ts
+++ b/forwarding/server_liveness_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { toBackendId } from "../ids/mod.ts";
-import { ServerLiveness } from "./server_pulses.ts";
+import { ServerLiveness } from "./server_liveness.ts";
 
 const SERVER = toBackendId("s1");
 /** Estimated time of a server to its first byte, in milliseconds. */
@@ -12,17 +12,17 @@
     it("considers it silent once no stream has sent a byte for a while", () => {
       const liveness = new ServerLiveness();
       const calls = [0, 10].map((nowMs) => liveness.begin(SERVER, nowMs));
-      calls.forEach((call) => call.hear(100));
+      calls.forEach((call) => call.recordBytes(100));
       assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 600), false);
       assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 601), true);
-      calls[1]!.hear(700);
+      calls[1]!.recordBytes(700);
       assert.equal(liveness.isSilent(SERVER, ESTIMATE_MS, 701), false);
     });
 
     it("waits for the first byte of the other calls once the streams have ended", () => {
       const liveness = new ServerLiveness();
       const begun = liveness.begin(SERVER, 0);
-      begun.hear(100);
+      begun.recordBytes(100);
       liveness.begin(SERVER, 200);
       begun.end();
       begun.end();
@@ -34,10 +34,10 @@
   it("considers a server that streams dead after a longer silence", () => {
     const liveness = new ServerLiveness();
     const call = liveness.begin(SERVER, 0);
-    assert.equal(liveness.isGone(SERVER, 5_000), false);
-    call.hear(5_000);
-    assert.equal(liveness.isGone(SERVER, 6_000), false);
-    assert.equal(liveness.isGone(SERVER, 6_001), true);
+    assert.equal(liveness.isDead(SERVER, 5_000), false);
+    call.recordBytes(5_000);
+    assert.equal(liveness.isDead(SERVER, 6_000), false);
+    assert.equal(liveness.isDead(SERVER, 6_001), true);
   });
 
   it("does not consider a server silent that has no calls", () => {
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -1,15 +1,15 @@
 import type { Clock } from "../clock/mod.ts";
-import type { FleetView, LoadBoard } from "../fleet/mod.ts";
+import type { FleetView, LoadTracker } from "../fleet/mod.ts";
 import type { Logger } from "../logs/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
 import type { CallQuarantine } from "../quarantine/mod.ts";
 import type { RegisteredServer, ServerRegistry } from "../servers/mod.ts";
-import type { AnswerFacts, CallGrammar } from "./call_grammar.ts";
+import type { AnswerFacts, CallHeaderCodec } from "./call_header_codec.ts";
 import type { Candidate } from "./choose_server.ts";
 import { type Exchange, isRetryable } from "./exchange.ts";
 import type { LearnedServers } from "./learned_servers.ts";
-import { computeFirstByteTimeoutMs } from "./read_patience.ts";
-import type { Handover, HandoverEvents } from "./offer.ts";
+import { computeFirstByteTimeoutMs } from "./compute_first_byte_timeout.ts";
+import type { Handover, HandoverEvents } from "./handover.ts";
 import {
   type AttemptOutcome,
   type EndedOutcome,
@@ -27,7 +27,7 @@
  * Time from the first byte of an answer, in milliseconds, after which a crash of the server
  * is not attributed to the call: a call that crashes servers does so as it begins to run.
  */
-export const BEGINNING_MS = 500;
+export const CRASH_ATTRIBUTION_MS = 500;
 
 /** How one send is cancelled and handed over. */
 export interface SendOptions {
@@ -42,11 +42,11 @@
 /** Dependencies of a {@linkcode ServerSender}. */
 export interface ServerSenderParts {
   readonly clock: Clock;
-  readonly grammar: CallGrammar;
+  readonly headerCodec: CallHeaderCodec;
   readonly client: ServerClient;
   readonly registry: ServerRegistry;
   readonly fleet: FleetView;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   readonly learned: LearnedServers;
   /** Records crashes of servers and the calls that they had. */
   readonly quarantine: CallQuarantine;
@@ -80,15 +80,15 @@
     candidate: Candidate,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
-    const { clock, grammar, learned, loads, metrics } = this.#parts;
-    const { server: { entry }, unreadTokens } = candidate;
+    const { clock, headerCodec, learned, loads, metrics } = this.#parts;
+    const { server: { entry }, prefillTokens: unreadTokens } = candidate;
     const { call, service } = exchange;
     const startMs = clock.nowMs();
     const queuedTokens = loads.readTotal(entry.id).pendingTokens;
     const load = this.#beginLoad(candidate);
-    const liveness = learned.pulses.begin(entry.id, startMs);
+    const liveness = learned.liveness.begin(entry.id, startMs);
     this.#recordSend(exchange, candidate, startMs);
-    learned.crowd.record(
+    learned.costJitter.record(
       service.name,
       this.#estimateReadingMs(candidate),
       startMs,
@@ -97,18 +97,18 @@
     const canRetry = isRetryable(exchange) && exchange.attemptsLeft > 1;
     const outcome = await runAttempt({
       client: this.#parts.client,
-      grammar,
+      headerCodec,
       sink: exchange.sink,
       request: {
         address: entry.address,
         method: call.method,
         target: call.target,
-        headers: grammar.writeSend(call.headers, {
+        headers: headerCodec.writeSend(call.headers, {
           serverName: entry.name,
           rank: exchange.access.rank,
           team: exchange.access.caller?.team.id,
-          keepsKeys: exchange.access.withholdsKeys,
-          remainingMs: Math.max(1, Math.floor(exchange.dueMs - startMs)),
+          withholdsKeys: exchange.access.withholdsKeys,
+          remainingMs: Math.max(1, Math.floor(exchange.deadlineMs - startMs)),
           lastEventId: exchange.progress.lastEventId,
         }),
         body: call.body,
@@ -121,7 +121,7 @@
         exchange.route.routeClass === "stream",
       progress: exchange.progress,
       createHopHeaders: () => this.#parts.createHopHeaders(exchange),
-      onActivity: () => liveness.hear(clock.nowMs()),
+      onActivity: () => liveness.recordBytes(clock.nowMs()),
       onFacts: (facts) => this.#recordFacts(entry, facts, startMs),
       onFirstByte: () => {
         load.endReading();
@@ -142,7 +142,7 @@
         candidate.estimateMs,
       ),
       isServerDead: canRetry
-        ? () => learned.pulses.isGone(entry.id, clock.nowMs())
+        ? () => learned.liveness.isDead(entry.id, clock.nowMs())
         : undefined,
     });
     load.end();
@@ -160,7 +160,11 @@
     candidate: Candidate,
   ): { readonly endReading: () => void; readonly end: () => void } {
     const { loads } = this.#parts;
-    const { memoryTokens, unreadTokens, server: { entry: { id } } } = candidate;
+    const {
+      memoryTokens,
+      prefillTokens: unreadTokens,
+      server: { entry: { id } },
+    } = candidate;
     loads.addOwn(id, { calls: 1, pendingTokens: unreadTokens, memoryTokens });
     let isReading = true;
     const endReading = () => {
@@ -195,7 +199,7 @@
     }
     learned.limitGate.record(entry.id, nowMs);
     if (service.engine !== undefined) {
-      learned.recordSent(entry.id, exchange.parts);
+      learned.recordSent(entry.id, exchange.promptParts);
     }
     exchange.tried.add(entry.id);
     exchange.sentTo.push(entry.id);
@@ -203,7 +207,8 @@
 
   /** Returns how long the prompt of a call delays the calls behind it at its server, in milliseconds. */
   #estimateReadingMs(
-    { server: { entry: { id, service } }, unreadTokens }: Candidate,
+    { server: { entry: { id, service } }, prefillTokens: unreadTokens }:
+      Candidate,
   ): number {
     const { speeds } = this.#parts.learned;
     return speeds.estimateMs(id, service, unreadTokens) -
@@ -246,10 +251,15 @@
     facts: AnswerFacts,
     sentMs: number,
   ): void {
-    const { coldForMs, isLeaving, isOtherServer, restMs: cooldownMs } = facts;
+    const {
+      coldForMs,
+      isLeaving,
+      isMisdirected: isMisdirected,
+      cooldownMs: cooldownMs,
+    } = facts;
     const { id, service } = server;
     // Another server has the address, and the answer is about that server.
-    if (isOtherServer) return;
+    if (isMisdirected) return;
     this.#recordLimit(server, facts, sentMs);
     const { clock, learned: { health }, logger, registry } = this.#parts;
     const nowMs = clock.nowMs();
@@ -260,7 +270,8 @@
       logger.info("server says that it leaves", { server: id, service });
     }
     if (
-      cooldownMs !== undefined && health.rest(id, nowMs + cooldownMs, nowMs)
+      cooldownMs !== undefined &&
+      health.startCooldown(id, nowMs + cooldownMs, nowMs)
     ) {
       const forMs = Math.round(cooldownMs);
       logger.info("server asks for rest", { server: id, service, forMs });
@@ -276,7 +287,9 @@
     // still needs it.
     if (isNotExecuted && perSecond === undefined) return;
     const { clock, learned: { limits }, logger } = this.#parts;
-    if (!limits.hear(id, { perSecond, sentMs }, clock.nowMs())) return;
+    if (!limits.recordAdvertised(id, { perSecond, sentMs }, clock.nowMs())) {
+      return;
+    }
     if (perSecond === undefined) {
       logger.info("server names no limit", { server: id, service });
     } else {
@@ -308,7 +321,7 @@
 ): boolean {
   const isLost = outcome.kind === "no-answer" || outcome.kind === "broken";
   const isEarly = firstByteMs === undefined ||
-    nowMs - firstByteMs < BEGINNING_MS;
+    nowMs - firstByteMs < CRASH_ATTRIBUTION_MS;
   return isLost && isEarly && outcome.isClosed === true;
 }
 
--- a/forwarding/settle_attempt.ts
+++ b/forwarding/settle_attempt.ts
@@ -1,14 +1,14 @@
-import type { Place } from "./choose_place.ts";
+import type { Destination } from "./choose_destination.ts";
 import { type Exchange, isResumableNow, isRetryable } from "./exchange.ts";
 import type { Refusal } from "./refusal.ts";
 import type { EndedOutcome } from "./run_attempt.ts";
 
 /** When callers may retry after a refusal for lack of capacity, in milliseconds. */
-export const NO_ROOM_RETRY_MS = 150;
+export const NO_CAPACITY_RETRY_MS = 150;
 
 /** A server or a remote instance that a call can be sent to. */
 export type SendDestination = Extract<
-  Place,
+  Destination,
   { readonly kind: "here" | "away" }
 >;
 
@@ -60,7 +60,7 @@
         refusal: {
           reason: "rejected",
           message: "A server refused the call without running it",
-          retryAfterMs: NO_ROOM_RETRY_MS,
+          retryAfterMs: NO_CAPACITY_RETRY_MS,
         },
       };
     case "failed":
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -112,7 +112,7 @@
   }
 
   /** Highest configuration sequence number that any peer or region has reported. */
-  get newestHeard(): number {
+  get newestConfiguration(): number {
     return this.#newestConfiguration;
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Members of the local region and instances of all others, without this instance. */
-  get listed(): readonly InstanceRecord[] {
+  get listedInstances(): readonly InstanceRecord[] {
     return [
       ...this.members.map(({ record }) => record),
       ...this.#remoteInstances.values(),
@@ -190,7 +190,7 @@
    * @param records All listed instances.
    * @param nowMs Current time, in milliseconds.
    */
-  applyList(records: readonly InstanceRecord[], nowMs: number): void {
+  applyInstanceList(records: readonly InstanceRecord[], nowMs: number): void {
     const others = records.filter(({ id }) => id !== this.#self.id);
     const listed = new Set(others.map(({ id }) => id));
     [...this.#members.keys()].filter((id) => !listed.has(id))
@@ -236,7 +236,7 @@
    * @param local Configuration and free capacity of this instance's region.
    * @param nowMs Current time, in milliseconds.
    */
-  decideTick(local: LocalState, nowMs: number): readonly OutgoingHeartbeat[] {
+  advanceTick(local: LocalState, nowMs: number): readonly OutgoingHeartbeat[] {
     this.#ticks++;
     this.#sequence++;
     this.#newestConfiguration = Math.max(
@@ -276,7 +276,7 @@
    * Returns a heartbeat for each member of the local region, to be sent outside the
    * regular interval, such as at the start of a graceful shutdown.
    */
-  createFarewell(configuration: number): readonly OutgoingHeartbeat[] {
+  createBroadcast(configuration: number): readonly OutgoingHeartbeat[] {
     this.#sequence++;
     const heartbeat = this.#createHeartbeat(configuration, []);
     return this.members.map(({ record }) => ({ to: record, heartbeat }));
@@ -381,7 +381,7 @@
       return [];
     }
     this.#incarnation = gossip.incarnation + 1;
-    return this.createFarewell(this.#newestConfiguration);
+    return this.createBroadcast(this.#newestConfiguration);
   }
 
   #markDead(member: Member, incarnation: number): void {
--- a/tests/cluster_test.ts
+++ b/tests/cluster_test.ts
@@ -63,7 +63,7 @@
       incarnation: 100,
       random: createRandom(1),
     });
-    view.applyList([createRecord("self"), createRecord("peer")], 0);
+    view.applyInstanceList([createRecord("self"), createRecord("peer")], 0);
     return view;
   }
   const readStatus = (view: Membership) => view.members[0]!.status;
@@ -73,7 +73,7 @@
     const view = createView();
     view.applyHeartbeat(createHeartbeat("peer", { sequence: 9 }), 10);
     for (let nowMs = 400; nowMs <= 4_000; nowMs += 400) {
-      view.decideTick(local, nowMs);
+      view.advanceTick(local, nowMs);
     }
     assert.equal(readStatus(view), "dead");
     const answers = view.applyHeartbeat(
--- a/tests/engine_memory_test.ts
+++ b/tests/engine_memory_test.ts
@@ -47,7 +47,7 @@
       sinks = gatewaySinks;
       return LOADED_STATE;
     },
-    readHeldParts: (address) => {
+    readCachedParts: (address) => {
       requestedAddresses.push(address);
       return Promise.resolve(
         cachedParts === undefined
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -97,7 +97,7 @@
         const hop = readHop(headers);
         return hop && { kind: "instance", hop };
       },
-      refuseUnread: (head) => gateway.forwarder.refuseUnread(head),
+      refuseUnread: (head) => gateway.forwarder.findHeadRefusal(head),
       handle: (call, sink) => gateway.handle(call, sink),
     });
   const callers = createListener(false);
@@ -111,7 +111,7 @@
     random: createRandom(7),
     logger: createSilentLogger(),
     metrics: NO_METRICS,
-    grammar: PLATFORM_GRAMMAR,
+    headerCodec: PLATFORM_GRAMMAR,
     client: pool,
     peerClient: pool,
     self: {
--- a/tests/large_region_test.ts
+++ b/tests/large_region_test.ts
@@ -53,7 +53,7 @@
       for (let step = 0; step < 30; step++) {
         await clock.advance(100);
         const counts = listRunning().map(({ fleet }) =>
-          fleet.countAll(clock.nowMs())
+          fleet.countLive(clock.nowMs())
         );
         assert.equal(Math.min(...counts), perRegion);
       }
--- a/tests/lease_of_earlier_era_test.ts
+++ b/tests/lease_of_earlier_era_test.ts
@@ -77,7 +77,7 @@
       });
       return follower;
     },
-    keepRefusedCall: (call) => void quarantinedCalls.keep(call),
+    storeQuarantinedCall: (call) => void quarantinedCalls.keep(call),
   });
   gateway.start(ended.signal);
   entry.start(ended.signal);
--- a/tests/lingering_instance_test.ts
+++ b/tests/lingering_instance_test.ts
@@ -37,7 +37,7 @@
     createHeadSink(() => {}),
   );
   await clock.advance(1);
-  void gateway.leave({
+  void gateway.shutDown({
     graceMs: GRACE_MS,
     countOpen: () => gateway.forwarder.inFlight,
     stopListening: () => {},
--- a/tests/member_fixture.ts
+++ b/tests/member_fixture.ts
@@ -1,4 +1,4 @@
-import { FleetView, LoadBoard, type MemberRecord } from "../fleet/mod.ts";
+import { FleetView, LoadTracker, type MemberRecord } from "../fleet/mod.ts";
 import {
   toBackendId,
   toFailureDomainId,
@@ -32,7 +32,7 @@
  */
 export function createFleet(
   self: MemberRecord = createMember("self"),
-  loads = new LoadBoard(),
+  loads = new LoadTracker(),
 ): FleetView {
   return new FleetView({ self, loads });
 }
--- a/tests/opaque_call_fixture.ts
+++ b/tests/opaque_call_fixture.ts
@@ -46,6 +46,6 @@
     write: () => true,
     onDrain: () => {},
     end: () => {},
-    breakOff: () => {},
+    abort: () => {},
   };
 }
--- a/tests/refused_call_kept_test.ts
+++ b/tests/refused_call_kept_test.ts
@@ -41,7 +41,7 @@
       });
       return follower;
     },
-    keepRefusedCall: (call) => void entries.keep(call),
+    storeQuarantinedCall: (call) => void entries.keep(call),
   });
   gateway.start(ended.signal);
   return { ended, quarantine: gateway.forwarder.quarantine };
--- a/tests/region_reports_test.ts
+++ b/tests/region_reports_test.ts
@@ -55,7 +55,7 @@
     sent.length = 0;
     await clock.advance(6_000);
     gateways.forEach((gateway) =>
-      assert.equal(gateway.fleet.countAll(clock.nowMs()), 15)
+      assert.equal(gateway.fleet.countLive(clock.nowMs()), 15)
     );
     // For ten instances in other regions, two representatives would take 20 datagrams a second each way.
     const perSecond = countBetweenRegions() / 6;
@@ -74,14 +74,14 @@
         if (ends.get(address)?.signal.aborted) return;
         minLiveCount = Math.min(
           minLiveCount,
-          gateway.fleet.countAll(clock.nowMs()),
+          gateway.fleet.countLive(clock.nowMs()),
         );
       });
     }
     assert.equal(minLiveCount, 9);
     gateways.forEach((gateway, address) => {
       if (ends.get(address)?.signal.aborted) return;
-      assert.equal(gateway.fleet.countAll(clock.nowMs()), 9);
+      assert.equal(gateway.fleet.countLive(clock.nowMs()), 9);
     });
   });
 
--- a/tests/report_fixture.ts
+++ b/tests/report_fixture.ts
@@ -23,7 +23,7 @@
     },
     loads: [],
     prefixes: [],
-    news: [],
+    gossip: [],
     wantsNews: false,
     ...overrides,
   };
--- a/tests/reporter_fixture.ts
+++ b/tests/reporter_fixture.ts
@@ -5,7 +5,7 @@
   encodeReport,
   type FleetReport,
   FleetView,
-  LoadBoard,
+  LoadTracker,
   type SendReportOptions,
 } from "../fleet/mod.ts";
 import { toBackendId, toFailureDomainId } from "../ids/mod.ts";
@@ -22,7 +22,7 @@
 export interface VirtualReporter {
   readonly address: string;
   readonly fleet: FleetView;
-  readonly loads: LoadBoard;
+  readonly loads: LoadTracker;
   readonly quarantine: CallQuarantine;
   readonly reporter: FleetReporter;
   /** Begins calls, or completes calls if the number is negative. */
@@ -85,7 +85,7 @@
       region,
     );
     const { address } = member;
-    const loads = new LoadBoard();
+    const loads = new LoadTracker();
     const fleet = new FleetView({
       self: {
         ...member,
@@ -112,8 +112,8 @@
       },
       seedAddresses: regions.map((name) => `${name}-000:1`),
       sendReport: (...args) => send(all.get(address)!, ...args),
-      takePrefixes: () => [],
-      learnPrefixes: () => {},
+      takeUnreportedPrefixes: () => [],
+      recordPrefixes: () => {},
       quarantine,
       onRound: () => fleet.sweep(clock.nowMs()),
       onNewState: () => {},
--- a/tests/virtual_fleet.ts
+++ b/tests/virtual_fleet.ts
@@ -5,7 +5,7 @@
   type AnswerHead,
   type CallOrigin,
   type CallSink,
-  OWN_GRAMMAR,
+  GATEWAY_HEADER_CODEC,
   readHop,
   type SendEvents,
   type SendRequest,
@@ -240,7 +240,7 @@
           this.clock.nowMs(),
           0,
         );
-        forwarder.forgetGone();
+        forwarder.forgetUnregisteredServers();
       });
       this.#startServer(server.region);
     });
@@ -260,7 +260,7 @@
           atMs: this.clock.nowMs(),
           server: server.id,
           from,
-          callId: OWN_GRAMMAR.readCall(request.headers).callId,
+          callId: GATEWAY_HEADER_CODEC.readCall(request.headers).callId,
           target: request.target,
           body: request.body.toString(),
         };
@@ -321,7 +321,7 @@
           signal: abandoned.signal,
           begin: (head) => void events.onHead(head),
           end: (trailers) => events.onEnd(trailers),
-          breakOff: () =>
+          abort: () =>
             events.onFailure({ kind: "closed", message: "broken off" }),
         };
         this.clock.schedule(
@@ -365,6 +365,6 @@
 function createSink(begin: (head: AnswerHead) => void): CallSink {
   return {
     ...createHeadSink(begin),
-    breakOff: () => begin({ status: 0, statusText: "", headers: [] }),
+    abort: () => begin({ status: 0, statusText: "", headers: [] }),
   };
 }
--- a/tests/virtual_gateway.ts
+++ b/tests/virtual_gateway.ts
@@ -1,6 +1,6 @@
 import { createRandom, VirtualClock } from "../clock/mod.ts";
 import { HttpGateway, type HttpGatewayParts } from "../daemon/http_gateway.ts";
-import { OWN_GRAMMAR, type ServerClient } from "../forwarding/mod.ts";
+import { GATEWAY_HEADER_CODEC, type ServerClient } from "../forwarding/mod.ts";
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import { createSilentLogger } from "../logs/mod.ts";
 import { NO_METRICS } from "../metrics/mod.ts";
@@ -51,7 +51,7 @@
     random: createRandom(7),
     logger: createSilentLogger(),
     metrics: NO_METRICS,
-    grammar: OWN_GRAMMAR,
+    headerCodec: GATEWAY_HEADER_CODEC,
     client: NO_CLIENT,
     peerClient: NO_CLIENT,
     self: {
