--- a/controllers/send_heartbeats.ts
+++ b/controllers/send_heartbeats.ts
@@ -1,7 +1,7 @@
 import type { ConfigurationState } from "../configuration/mod.ts";
 import type { Membership, ServiceDigest } from "../membership/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import type { ServicePool } from "../routing/mod.ts";
 
 /** Parts of an instance that {@linkcode createSendHeartbeats} uses. */
@@ -15,7 +15,7 @@
    * @param isRemote Whether the heartbeat goes to another region, to which reports are
    * sent less often.
    */
-  takeEnds(): (isRemote: boolean) => readonly ReportedEnds[];
+  takeEnds(): (isRemote: boolean) => readonly CrashReport[];
   readPool(service: string): ServicePool;
 }
 
--- a/daemon/crash_gossip.ts
+++ b/daemon/crash_gossip.ts
@@ -1,7 +1,7 @@
 import {
   type CallQuarantine,
-  EndsQueue,
-  type ReportedEnds,
+  type CrashReport,
+  CrashReportQueue,
 } from "../quarantine/mod.ts";
 
 /**
@@ -33,10 +33,10 @@
  */
 export class CrashGossip {
   readonly #quarantine: CallQuarantine;
-  readonly #queues: Readonly<Record<CrashGossipScope, EndsQueue>> = {
-    near: new EndsQueue(),
-    region: new EndsQueue(),
-    summary: new EndsQueue(),
+  readonly #queues: Readonly<Record<CrashGossipScope, CrashReportQueue>> = {
+    near: new CrashReportQueue(),
+    region: new CrashReportQueue(),
+    summary: new CrashReportQueue(),
   };
   readonly #reportCounts: Record<CrashGossipScope, number> = {
     near: 0,
@@ -51,7 +51,7 @@
 
   /** Queues what this instance itself observed since the last call, for all scopes. */
   gatherOwn(nowMs: number): void {
-    const unreported = this.#quarantine.takeUntold();
+    const unreported = this.#quarantine.takeUnreported();
     Object.values(this.#queues).forEach((queue) =>
       queue.add(unreported, nowMs)
     );
@@ -65,11 +65,11 @@
    * @param forwardTo Scopes to which reports that are new here are sent on.
    */
   mergeReports(
-    ends: readonly ReportedEnds[],
+    ends: readonly CrashReport[],
     nowMs: number,
     forwardTo: readonly CrashGossipScope[],
   ): void {
-    const merged = this.#quarantine.learn(ends, nowMs);
+    const merged = this.#quarantine.mergeReports(ends, nowMs);
     forwardTo.forEach((scope) => this.#queues[scope].add(merged, nowMs));
   }
 
@@ -77,18 +77,21 @@
   takeForReport(
     scope: CrashGossipScope,
     nowMs: number,
-  ): readonly ReportedEnds[] {
+  ): readonly CrashReport[] {
     const includesQuarantined =
       this.#reportCounts[scope]++ % REPORTS_PER_QUARANTINED_CALL[scope] === 0;
     return [
       ...this.#queues[scope].take(MAX_CRASH_REPORTS, nowMs),
-      ...this.#quarantine.listHeldInTurn(includesQuarantined ? 1 : 0, nowMs),
+      ...this.#quarantine.listQuarantinedInRotation(
+        includesQuarantined ? 1 : 0,
+        nowMs,
+      ),
     ];
   }
 
   /** Returns quarantined calls for the answer to an instance that asks for what it missed. */
-  listForAnswer(nowMs: number): readonly ReportedEnds[] {
-    return this.#quarantine.listHeldInTurn(
+  listForAnswer(nowMs: number): readonly CrashReport[] {
+    return this.#quarantine.listQuarantinedInRotation(
       MAX_QUARANTINED_CALLS_PER_ANSWER,
       nowMs,
     );
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -35,7 +35,7 @@
 } from "../filters/mod.ts";
 import { holdUntilEnd, toRefusal } from "../filters/mod.ts";
 import { QuarantineGuard } from "../forwarding/mod.ts";
-import type { CallQuarantine, ReportedEnds } from "../quarantine/mod.ts";
+import type { CallQuarantine, CrashReport } from "../quarantine/mod.ts";
 import type { PeerHandlers, PeerMethod, PeerMethods } from "../peers/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
 import { CrashGossip } from "./crash_gossip.ts";
@@ -218,7 +218,7 @@
   }
 
   /** Returns the crash reports for the heartbeats of one tick, by whether they go to another region. */
-  takeEnds(): (isRemote: boolean) => readonly ReportedEnds[] {
+  takeEnds(): (isRemote: boolean) => readonly CrashReport[] {
     const nowMs = this.parts.clock.nowMs();
     this.#crashGossip.gatherOwn(nowMs);
     const localReports = this.#crashGossip.takeForReport("near", nowMs);
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -34,7 +34,7 @@
 import type { RegionId } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import { type RegisteredServer, ServerRegistry } from "../servers/mod.ts";
 import type { StateSource } from "../state/mod.ts";
 import type { Result } from "neverthrow";
@@ -61,7 +61,7 @@
   /** Called after each change of the registry. */
   readonly onServers: () => void;
   /** Called with each quarantined call that is stored in the store. */
-  readonly onRefusedCall: (ends: ReportedEnds) => void;
+  readonly onRefusedCall: (ends: CrashReport) => void;
   /** Called when the store has been restored from an older copy. */
   readonly onRestored: () => void;
   /** Whether this instance follows the store for its region. */
@@ -93,7 +93,7 @@
   /** Usage allowed beyond the limits of teams. Default: none, over a window of 8 s. */
   readonly limitBounds?: LimitBounds;
   /** Stores a quarantined call for instances that start later. Default: it is not stored. */
-  readonly storeQuarantinedCall?: (ends: ReportedEnds) => void;
+  readonly storeQuarantinedCall?: (ends: CrashReport) => void;
   /** Sends a report to addresses. */
   readonly sendReport: SendReport;
   /**
@@ -180,7 +180,7 @@
       },
       onServers: () => this.#applyServers(),
       onRefusedCall: (ends) =>
-        void this.forwarder.quarantine.learn([ends], clock.nowMs()),
+        void this.forwarder.quarantine.mergeReports([ends], clock.nowMs()),
       onRestored: () => {
         // All instances know the same quarantined calls, so only the relays, which follow
         // the store, write them.
@@ -414,7 +414,7 @@
     metrics.gauge("fleet.summarized", this.#reporter.summarizedCount);
     metrics.gauge("loop.delay_ms", this.loopDelay.readMs());
     const { quarantine } = this.forwarder;
-    metrics.gauge("quarantine.held", quarantine.heldCount);
+    metrics.gauge("quarantine.held", quarantine.quarantinedCount);
     metrics.gauge("quarantine.suspects", quarantine.suspectCount);
     metrics.gauge("servers.limited", this.forwarder.serverLimits.count);
   }
--- a/filters/serve_locally.ts
+++ b/filters/serve_locally.ts
@@ -178,7 +178,7 @@
   { clock, quarantine }: Pick<ServeParts, "clock" | "quarantine">,
   exchange: Exchange,
 ): Failure | undefined {
-  const remainingMs = quarantine.readHeldMs(
+  const remainingMs = quarantine.readRemainingQuarantineMs(
     readContent(exchange),
     clock.nowMs(),
   );
@@ -196,7 +196,7 @@
   const nowMs = clock.nowMs();
   const window = Math.floor(nowMs / CRASH_WINDOW_MS);
   const crashId = toBackendId(`${server.id}@${window}`);
-  quarantine.recordEnd(readContent(exchange), crashId, nowMs);
+  quarantine.recordCrash(readContent(exchange), crashId, nowMs);
 }
 
 /** Returns the parts of a call that stay the same when the team sends it again. */
--- a/fleet/encode_report.ts
+++ b/fleet/encode_report.ts
@@ -17,7 +17,7 @@
   ReportedPrefix,
 } from "./fleet_report.ts";
 import type { ReportedUse } from "../admission/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 
 /** Method of the JSON-RPC notification that contains a report. */
 const METHOD = "fleet.report";
@@ -313,11 +313,11 @@
 
 type CrashRow = readonly [call: string, ageMs: number, ...servers: string[]];
 
-function encodeCrashRow({ ageMs, call, servers }: ReportedEnds): CrashRow {
+function encodeCrashRow({ ageMs, call, servers }: CrashReport): CrashRow {
   return [call, Math.round(ageMs), ...servers];
 }
 
-function decodeCrashRow([call, ageMs, ...servers]: CrashRow): ReportedEnds {
+function decodeCrashRow([call, ageMs, ...servers]: CrashRow): CrashReport {
   return {
     call: toCallFingerprint(toText(call)),
     ageMs: Math.max(0, toNumber(ageMs)),
--- a/fleet/fleet_report.ts
+++ b/fleet/fleet_report.ts
@@ -5,7 +5,7 @@
   InstanceId,
   RegionId,
 } from "../ids/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import type { StorePosition } from "../store/mod.ts";
 
 /**
@@ -103,7 +103,7 @@
   readonly prefixes: readonly ReportedPrefix[];
   readonly gossip: readonly MemberGossip[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly ReportedEnds[];
+  readonly ends?: readonly CrashReport[];
   /** Usage of teams at the instances that `scope` names. Default: none. */
   readonly uses?: readonly ReportedUse[];
   /** Limits that servers of the sender's region advertise. Default: none. */
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -7,7 +7,7 @@
   ReportedPrefix,
 } from "./fleet_report.ts";
 import type { ReportedUse } from "../admission/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import type { LoadTracker } from "./load_tracker.ts";
 
 /** Maximum number of members named in a report, so that the report fits into one packet. */
@@ -48,7 +48,7 @@
   /** Prompt parts to report. */
   readonly prefixes: readonly ReportedPrefix[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly ReportedEnds[];
+  readonly ends?: readonly CrashReport[];
   /** Current time, in milliseconds. */
   readonly nowMs: number;
 }
--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -19,7 +19,7 @@
 import {
   CallContent,
   type CallQuarantine,
-  type ReportedEnds,
+  type CrashReport,
 } from "../quarantine/mod.ts";
 import type { RegisteredServer, ServerRegistry } from "../servers/mod.ts";
 import type { CallHeaderCodec } from "./call_header_codec.ts";
@@ -89,7 +89,7 @@
   /** How far usage may exceed the limits of teams. */
   readonly limitBounds: LimitBounds;
   /** Stores a quarantined call where instances that start later find it. Default: it is not stored. */
-  readonly storeQuarantinedCall?: ((ends: ReportedEnds) => void) | undefined;
+  readonly storeQuarantinedCall?: ((ends: CrashReport) => void) | undefined;
 }
 
 /** Accepts calls, sends each to a backend server or a remote instance, and passes on the answers. */
--- a/forwarding/call_sender.ts
+++ b/forwarding/call_sender.ts
@@ -105,7 +105,9 @@
     const { clock, metrics, destinations, quarantine } = this.#parts;
     const nowMs = clock.nowMs();
     if (!canBeHandedOver(exchange)) return undefined;
-    if (quarantine.readHeldMs(exchange.content, nowMs) > 0) return undefined;
+    if (quarantine.readRemainingQuarantineMs(exchange.content, nowMs) > 0) {
+      return undefined;
+    }
     avoidInstance(exchange, from);
     const target = destinations.choose(exchange, nowMs);
     if (target.kind !== "here" && target.kind !== "away") return undefined;
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -3,8 +3,8 @@
 import {
   type CallContent,
   CallQuarantine,
-  type HeldCall,
-  type ReportedEnds,
+  type CrashReport,
+  type QuarantinedCall,
 } from "../quarantine/mod.ts";
 import type { Refusal } from "./refusal.ts";
 
@@ -12,7 +12,7 @@
 export interface QuarantineGuardParts {
   readonly logger: Logger;
   /** Stores a quarantined call where instances that start later find it. Default: it isn't stored. */
-  readonly storeQuarantinedCall?: ((ends: ReportedEnds) => void) | undefined;
+  readonly storeQuarantinedCall?: ((ends: CrashReport) => void) | undefined;
 }
 
 /** A call that is being served, and a function that aborts it. */
@@ -31,7 +31,7 @@
   constructor(parts: QuarantineGuardParts) {
     this.#parts = parts;
     this.quarantine = new CallQuarantine({
-      onHeld: (quarantined) => this.#handleQuarantined(quarantined),
+      onQuarantined: (quarantined) => this.#handleQuarantined(quarantined),
     });
   }
 
@@ -57,7 +57,10 @@
    * @param nowMs Time now.
    */
   findRefusal(content: CallContent, nowMs: number): Refusal | undefined {
-    const quarantinedMs = this.quarantine.readHeldMs(content, nowMs);
+    const quarantinedMs = this.quarantine.readRemainingQuarantineMs(
+      content,
+      nowMs,
+    );
     if (quarantinedMs <= 0) return undefined;
     return {
       reason: "quarantined",
@@ -68,12 +71,12 @@
 
   /** Stores all quarantined calls again, after the store has lost some. */
   storeAllAgain(nowMs: number): void {
-    const { heldCount } = this.quarantine;
-    this.quarantine.listHeldInTurn(heldCount, nowMs)
+    const { quarantinedCount: heldCount } = this.quarantine;
+    this.quarantine.listQuarantinedInRotation(heldCount, nowMs)
       .forEach((ends) => this.#parts.storeQuarantinedCall?.(ends));
   }
 
-  #handleQuarantined(quarantined: HeldCall): void {
+  #handleQuarantined(quarantined: QuarantinedCall): void {
     const { storeQuarantinedCall: keepRefusedCall, logger } = this.#parts;
     const { call, isSeenHere, servers } = quarantined;
     logger.warn("call quarantined", {
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -308,7 +308,7 @@
     const nowMs = clock.nowMs();
     if (isServed(outcome)) quarantine.recordAnswer(content, nowMs);
     if (hasCrashedServer(outcome, firstByteMs, nowMs)) {
-      quarantine.recordEnd(content, id, nowMs);
+      quarantine.recordCrash(content, id, nowMs);
     }
   }
 }
--- a/membership/member.ts
+++ b/membership/member.ts
@@ -1,4 +1,4 @@
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import type { InstanceId, RegionId } from "../ids/mod.ts";
 
 /** Location and addresses of an instance, as listed by the platform. */
@@ -82,5 +82,5 @@
   readonly rumours: readonly StatusGossip[];
   readonly digests: readonly RegionDigest[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly ReportedEnds[];
+  readonly ends?: readonly CrashReport[];
 }
--- a/quarantine/call_quarantine.ts
+++ b/quarantine/call_quarantine.ts
@@ -1,6 +1,6 @@
 import type { BackendId, CallFingerprint } from "../ids/mod.ts";
 import type { CallContent } from "./call_content.ts";
-import type { ReportedEnds } from "./crash_report.ts";
+import type { CrashReport } from "./crash_report.ts";
 
 /**
  * Number of servers that must crash during a call before the call is quarantined. One
@@ -36,7 +36,7 @@
 }
 
 /** A call that has just been quarantined. */
-export interface HeldCall extends ReportedEnds {
+export interface QuarantinedCall extends CrashReport {
   /** Whether this instance observed the last crash itself; otherwise another one reported it. */
   readonly isSeenHere: boolean;
 }
@@ -44,7 +44,7 @@
 /** Callbacks of a quarantine. */
 export interface CallQuarantineParts {
   /** Called when a call has been quarantined. Default: does nothing. */
-  readonly onHeld?: (held: HeldCall) => void;
+  readonly onQuarantined?: (held: QuarantinedCall) => void;
 }
 
 /**
@@ -60,21 +60,21 @@
  * each time.
  */
 export class CallQuarantine {
-  readonly #onQuarantined: NonNullable<CallQuarantineParts["onHeld"]>;
+  readonly #onQuarantined: NonNullable<CallQuarantineParts["onQuarantined"]>;
   /** By content; the one that changed last is at the end. */
   readonly #suspects = new Map<CallFingerprint, Suspect>();
   readonly #quarantined = new Set<CallFingerprint>();
   readonly #answeredMs = new Map<CallFingerprint, number>();
-  #unreported: ReportedEnds[] = [];
+  #unreported: CrashReport[] = [];
   #listOffset = 0;
 
   /** @param parts Callbacks. */
   constructor(parts: CallQuarantineParts = {}) {
-    this.#onQuarantined = parts.onHeld ?? (() => {});
+    this.#onQuarantined = parts.onQuarantined ?? (() => {});
   }
 
   /** Number of calls that are quarantined. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     return this.#quarantined.size;
   }
 
@@ -90,7 +90,7 @@
    * @param server The server that crashed.
    * @param nowMs Current time, in milliseconds.
    */
-  recordEnd(content: CallContent, server: BackendId, nowMs: number): void {
+  recordCrash(content: CallContent, server: BackendId, nowMs: number): void {
     const report = { call: content.fingerprint, servers: [server], ageMs: 0 };
     if (this.#mergeReport(report, nowMs, true)) this.#unreported.push(report);
   }
@@ -115,10 +115,10 @@
    * @param nowMs Current time, in milliseconds.
    * @returns The rows that contained something new.
    */
-  learn(
-    reports: readonly ReportedEnds[],
+  mergeReports(
+    reports: readonly CrashReport[],
     nowMs: number,
-  ): readonly ReportedEnds[] {
+  ): readonly CrashReport[] {
     reports.forEach(({ call, servers }) => {
       if (servers.length > 0) this.#reportAnswered(call, nowMs);
     });
@@ -131,7 +131,7 @@
    * @param content Content of the call.
    * @param nowMs Current time, in milliseconds.
    */
-  readHeldMs(content: CallContent, nowMs: number): number {
+  readRemainingQuarantineMs(content: CallContent, nowMs: number): number {
     if (this.#quarantined.size === 0) return 0;
     const { fingerprint } = content;
     const suspect = this.#suspects.get(fingerprint);
@@ -143,7 +143,7 @@
   }
 
   /** Returns the crashes and answers to report that were recorded since it was last called. */
-  takeUntold(): readonly ReportedEnds[] {
+  takeUnreported(): readonly CrashReport[] {
     const unreported = this.#unreported;
     this.#unreported = [];
     return unreported;
@@ -156,7 +156,10 @@
    * @param count Maximum number of calls.
    * @param nowMs Current time, in milliseconds.
    */
-  listHeldInTurn(count: number, nowMs: number): readonly ReportedEnds[] {
+  listQuarantinedInRotation(
+    count: number,
+    nowMs: number,
+  ): readonly CrashReport[] {
     this.#releaseExpired(nowMs);
     const quarantined = [...this.#quarantined];
     const picked = Array.from(
@@ -180,7 +183,7 @@
 
   /** @returns Whether the row contained something new. */
   #mergeReport(
-    { ageMs, call, servers }: ReportedEnds,
+    { ageMs, call, servers }: CrashReport,
     nowMs: number,
     isSeenHere: boolean,
   ): boolean {
--- a/quarantine/call_quarantine_test.ts
+++ b/quarantine/call_quarantine_test.ts
@@ -13,15 +13,15 @@
 ) {
   const held: CallFingerprint[] = [];
   const quarantine = new CallQuarantine({
-    onHeld: ({ call }) => held.push(call),
+    onQuarantined: ({ call }) => held.push(call),
   });
   Object.entries(crashes).forEach(([body, servers]) =>
     servers.forEach((server, at) =>
-      quarantine.recordEnd(createContent(body), SERVERS[server]!, at * 1_000)
+      quarantine.recordCrash(createContent(body), SERVERS[server]!, at * 1_000)
     )
   );
   const isQuarantined = (body: string, nowMs = 5_000) =>
-    quarantine.readHeldMs(createContent(body), nowMs) > 0;
+    quarantine.readRemainingQuarantineMs(createContent(body), nowMs) > 0;
   return { held, isQuarantined, quarantine };
 }
 
@@ -59,7 +59,7 @@
       };
       Array.from({ length: 60 }, (_, minute) => minute * 60_000).forEach(
         (nowMs) =>
-          quarantine.learn(
+          quarantine.mergeReports(
             [{ ...row, ageMs: Math.max(0, nowMs - 2_000) }],
             nowMs,
           ),
@@ -74,9 +74,9 @@
       const { isQuarantined, quarantine } = createQuarantine({
         bad: [0, 1, 2],
       });
-      assert.deepEqual(quarantine.listHeldInTurn(1, HOUR_MS), []);
+      assert.deepEqual(quarantine.listQuarantinedInRotation(1, HOUR_MS), []);
       assert.ok(!isQuarantined("bad", HOUR_MS));
-      quarantine.recordEnd(createContent("bad"), SERVERS[3]!, HOUR_MS);
+      quarantine.recordCrash(createContent("bad"), SERVERS[3]!, HOUR_MS);
       assert.ok(isQuarantined("bad", HOUR_MS + 1_000));
     });
 
@@ -85,7 +85,7 @@
       const recordCrash = (server: number) => {
         const atMs = server * HOUR_MS;
         const id = toBackendId(`server ${server}`);
-        quarantine.recordEnd(createContent("bad"), id, atMs);
+        quarantine.recordCrash(createContent("bad"), id, atMs);
         return isQuarantined("bad", atMs + 1_000);
       };
       const held = Array.from(
@@ -113,7 +113,7 @@
       });
       quarantine.recordAnswer(createContent("beside"), 5_000);
       [3, 4, 5].forEach((server) =>
-        quarantine.recordEnd(createContent("beside"), SERVERS[server]!, 6_000)
+        quarantine.recordCrash(createContent("beside"), SERVERS[server]!, 6_000)
       );
       assert.ok(!isQuarantined("beside", 7_000));
       assert.ok(isQuarantined("bad", 7_000));
@@ -126,7 +126,7 @@
         beside: [0, 1, 2],
       });
       assert.ok(isQuarantined("beside"));
-      quarantine.learn(other.takeUntold(), 5_000);
+      quarantine.mergeReports(other.takeUnreported(), 5_000);
       assert.ok(!isQuarantined("beside"));
     });
 
@@ -145,7 +145,7 @@
       const { isQuarantined, quarantine } = createQuarantine({});
       quarantine.recordAnswer(createContent("popular"), 1_000);
       [0, 1, 2].forEach((server) =>
-        quarantine.recordEnd(
+        quarantine.recordCrash(
           createContent("popular"),
           SERVERS[server]!,
           2_000,
@@ -160,8 +160,8 @@
       const { isQuarantined, quarantine } = createQuarantine({
         popular: [0, 1, 2],
       });
-      knowing.learn(quarantine.takeUntold(), 3_000);
-      quarantine.learn(knowing.takeUntold(), 3_100);
+      knowing.mergeReports(quarantine.takeUnreported(), 3_000);
+      quarantine.mergeReports(knowing.takeUnreported(), 3_100);
       assert.ok(!isQuarantined("popular"));
     });
 
@@ -169,7 +169,7 @@
       const { isQuarantined, quarantine } = createQuarantine({});
       quarantine.recordAnswer(createContent("bad"), 1_000);
       [0, 1, 2].forEach((server) =>
-        quarantine.recordEnd(createContent("bad"), SERVERS[server]!, 70_000)
+        quarantine.recordCrash(createContent("bad"), SERVERS[server]!, 70_000)
       );
       assert.ok(isQuarantined("bad", 71_000));
     });
@@ -178,16 +178,17 @@
   describe("when other instances report crashes", () => {
     it("adds their crashes to those it observed itself", () => {
       const { isQuarantined, quarantine } = createQuarantine({ bad: [0] });
-      const other = createQuarantine({ bad: [1, 2] }).quarantine.takeUntold();
-      assert.equal(quarantine.learn(other, 3_000).length, 2);
+      const other = createQuarantine({ bad: [1, 2] }).quarantine
+        .takeUnreported();
+      assert.equal(quarantine.mergeReports(other, 3_000).length, 2);
       assert.ok(isQuarantined("bad"));
     });
 
     it("returns no rows that it already knows", () => {
       const { quarantine } = createQuarantine({ bad: [0, 1, 2] });
-      const known = quarantine.listHeldInTurn(1, 3_000);
+      const known = quarantine.listQuarantinedInRotation(1, 3_000);
       assert.equal(known.length, 1);
-      assert.deepEqual(quarantine.learn(known, 3_000), []);
+      assert.deepEqual(quarantine.mergeReports(known, 3_000), []);
     });
   });
 
@@ -199,7 +200,7 @@
       Array.from(
         { length: 10_000 },
         (_, at) =>
-          quarantine.recordEnd(
+          quarantine.recordCrash(
             createContent(`other ${at}`),
             SERVERS[3]!,
             4_000,
@@ -214,10 +215,10 @@
       const bodies = Array.from({ length: 1_000 }, (_, at) => `bad ${at}`);
       bodies.forEach((body) =>
         [0, 1, 2].forEach((server) =>
-          quarantine.recordEnd(createContent(body), SERVERS[server]!, 4_000)
+          quarantine.recordCrash(createContent(body), SERVERS[server]!, 4_000)
         )
       );
-      assert.ok(quarantine.heldCount <= 256);
+      assert.ok(quarantine.quarantinedCount <= 256);
       assert.ok(isQuarantined(bodies.at(-1)!));
     });
   });
--- a/quarantine/ends_queue.ts
+++ b/quarantine/crash_report_queue.ts
@@ -1,4 +1,4 @@
-import type { ReportedEnds } from "./crash_report.ts";
+import type { CrashReport } from "./crash_report.ts";
 
 /** Maximum number of queued rows: the calls that three servers had in flight when they crashed. */
 const MAX_ROWS = 192;
@@ -6,13 +6,13 @@
 const MAX_SENDS = 2;
 
 interface QueuedRow {
-  readonly ends: ReportedEnds;
+  readonly ends: CrashReport;
   readonly addedMs: number;
   sendCount: number;
 }
 
 /** Queue of crash reports to send to other instances; the newest are sent first. */
-export class EndsQueue {
+export class CrashReportQueue {
   #rows: readonly QueuedRow[] = [];
 
   /** Number of queued rows. */
@@ -21,7 +21,7 @@
   }
 
   /** Adds rows; drops the oldest ones when the queue is full. */
-  add(reports: readonly ReportedEnds[], nowMs: number): void {
+  add(reports: readonly CrashReport[], nowMs: number): void {
     if (reports.length === 0) return;
     const added = reports.map((ends) => ({
       ends,
@@ -37,7 +37,7 @@
    * @param count Maximum number of rows.
    * @param nowMs Current time, in milliseconds.
    */
-  take(count: number, nowMs: number): readonly ReportedEnds[] {
+  take(count: number, nowMs: number): readonly CrashReport[] {
     if (this.#rows.length === 0) return [];
     const taken = this.#rows.slice(-count);
     taken.forEach((row) => row.sendCount++);
--- a/quarantine/ends_queue_test.ts
+++ b/quarantine/crash_report_queue_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { toCallFingerprint } from "../ids/mod.ts";
-import { EndsQueue } from "./ends_queue.ts";
+import { CrashReportQueue } from "./crash_report_queue.ts";
 
 function createRows(count: number) {
   return Array.from({ length: count }, (_, at) => ({
@@ -13,7 +13,7 @@
 
 describe("EndsQueue", () => {
   it("sends each row twice, with its current age", () => {
-    const queue = new EndsQueue();
+    const queue = new CrashReportQueue();
     queue.add(createRows(2), 100);
     assert.deepEqual(queue.take(8, 100).map(({ ageMs }) => ageMs), [10, 10]);
     assert.deepEqual(queue.take(8, 250).map(({ ageMs }) => ageMs), [160, 160]);
@@ -21,7 +21,7 @@
   });
 
   it("sends the newest rows first, and at most the requested number", () => {
-    const queue = new EndsQueue();
+    const queue = new CrashReportQueue();
     queue.add(createRows(3), 0);
     assert.deepEqual(queue.take(2, 0).map(({ call }) => call), [
       "call 1",
@@ -30,7 +30,7 @@
   });
 
   it("drops the oldest rows when the queue is full", () => {
-    const queue = new EndsQueue();
+    const queue = new CrashReportQueue();
     queue.add(createRows(1_000), 0);
     assert.ok(queue.length <= 192);
     assert.equal(queue.take(1, 0)[0]!.call, "call 999");
--- a/quarantine/mod.ts
+++ b/quarantine/mod.ts
@@ -16,4 +16,4 @@
 export * from "./call_content.ts";
 export * from "./crash_report.ts";
 export * from "./call_quarantine.ts";
-export * from "./ends_queue.ts";
+export * from "./crash_report_queue.ts";
--- a/spec/server_spec.ts
+++ b/spec/server_spec.ts
@@ -1,6 +1,6 @@
 import { toFailureDomainId, toRegionId, toStartedId } from "../ids/mod.ts";
 import type { RegisteredServer } from "../servers/mod.ts";
-import { judgeServerEntry, withdrawServer } from "../state/mod.ts";
+import { evaluateServerEntry, withdrawServer } from "../state/mod.ts";
 import {
   type Mutant,
   parseEvent,
@@ -189,7 +189,7 @@
   }
   const reported = toServer(entry);
   if (faults.ignoresStarts) return reported;
-  const verdict = judgeServerEntry(before, reported);
+  const verdict = evaluateServerEntry(before, reported);
   switch (verdict.kind) {
     case "put":
     case "restarted":
--- a/state/judge_server_entry.ts
+++ b/state/evaluate_server_entry.ts
@@ -38,7 +38,7 @@
  * @param next The new entry.
  * @param options Which era the earlier entry is of.
  */
-export function judgeServerEntry(
+export function evaluateServerEntry(
   previous: RegisteredServer | undefined,
   next: RegisteredServer,
   { isOfEarlierEra = false }: EvaluateServerEntryOptions = {},
--- a/state/instance_entry.ts
+++ b/state/instance_entry.ts
@@ -61,7 +61,7 @@
   }
 
   /** Writes the entry again if the store has lost it, without waiting for the next renewal. */
-  writeAgain(): void {
+  rewriteIfLost(): void {
     const signal = this.#signal;
     if (signal === undefined || signal.aborted) return;
     const { clock, random } = this.#parts;
--- a/state/refused_call_entries.ts
+++ b/state/refused_call_entries.ts
@@ -1,7 +1,7 @@
 import { type Clock, type Random, waitFor } from "../clock/mod.ts";
 import type { CallFingerprint } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
-import { QUARANTINE_MS, type ReportedEnds } from "../quarantine/mod.ts";
+import { type CrashReport, QUARANTINE_MS } from "../quarantine/mod.ts";
 import type { RevisionedStore } from "../store/mod.ts";
 
 /**
@@ -52,7 +52,7 @@
    *
    * @param report The call and the servers that crashed during it.
    */
-  async keep(report: ReportedEnds): Promise<void> {
+  async store(report: CrashReport): Promise<void> {
     const { clock, logger, random, signal } = this.#parts;
     const endedMs = clock.nowMs() - report.ageMs;
     await waitFor(clock, MAX_WRITE_DELAY_MS * random.nextFloat(), signal);
@@ -73,7 +73,7 @@
 
   /** @returns Message of the failure; `undefined`: the entry is written or not needed. */
   async #write(
-    { call, servers }: ReportedEnds,
+    { call, servers }: CrashReport,
     endedMs: number,
   ): Promise<string | undefined> {
     const { clock, readRevision, signal, store, toKey } = this.#parts;
--- a/state/server_entries.ts
+++ b/state/server_entries.ts
@@ -3,7 +3,10 @@
 import type { RegisteredServer, ServerRegistry } from "../servers/mod.ts";
 import type { StoreEntry } from "../store/mod.ts";
 import type { DocumentCache } from "./document_cache.ts";
-import { judgeServerEntry, withdrawServer } from "./judge_server_entry.ts";
+import {
+  evaluateServerEntry,
+  withdrawServer,
+} from "./evaluate_server_entry.ts";
 
 /**
  * How long a server whose entry was removed gets no calls when a restored store has that
@@ -36,7 +39,7 @@
 
 /** What the entries of servers are applied to. */
 export interface ServerEntriesParts {
-  readonly held: DocumentCache;
+  readonly cache: DocumentCache;
   readonly registry: ServerRegistry;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -103,7 +106,7 @@
 
   /** Returns all servers that have an entry. */
   list(): readonly RegisteredServer[] {
-    return this.#parts.held.documents.flatMap((document) =>
+    return this.#parts.cache.documents.flatMap((document) =>
       document.kind === "server" ? [document.server] : []
     );
   }
@@ -153,10 +156,10 @@
   }
 
   #evaluate(entry: StoreEntry, next: RegisteredServer): void {
-    const { held: cache, logger, registry } = this.#parts;
+    const { cache, logger, registry } = this.#parts;
     const { key, revision } = entry;
     const previous = cache.readDocument(key);
-    const decision = judgeServerEntry(
+    const decision = evaluateServerEntry(
       previous?.kind === "server" ? previous.server : undefined,
       next,
       { isOfEarlierEra: cache.isOfEarlierEra(key) },
@@ -204,7 +207,7 @@
   }
 
   #put(entry: StoreEntry, server: RegisteredServer): void {
-    const { clock, held: cache, registry } = this.#parts;
+    const { clock, cache, registry } = this.#parts;
     cache.put(entry, { kind: "server", server });
     registry.put(server, clock.nowMs());
   }
--- a/state/state_in_force.ts
+++ b/state/state_in_force.ts
@@ -2,7 +2,7 @@
 import { type RouteConfiguration, RouteTable } from "../http_routes/mod.ts";
 import type { FailureDomainId } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
-import type { ReportedEnds } from "../quarantine/mod.ts";
+import type { CrashReport } from "../quarantine/mod.ts";
 import type { ServerRegistry } from "../servers/mod.ts";
 import {
   comparePositions,
@@ -15,7 +15,7 @@
 import { DocumentCache } from "./document_cache.ts";
 import { pickFresh } from "./merge_state.ts";
 import type { RemovedKey } from "./removal_log.ts";
-import { RetainedDocuments } from "./carried_over.ts";
+import { RetainedDocuments } from "./retained_documents.ts";
 import { ServerEntries } from "./server_entries.ts";
 import type { StateDecoder } from "./state_document.ts";
 import type { StateCopy } from "./state_source.ts";
@@ -43,7 +43,7 @@
   /** Called after each change of the registry. */
   readonly onServers: () => void;
   /** Called with each refused call found in the store. Default: does nothing. */
-  readonly onRefusedCall?: (report: ReportedEnds) => void;
+  readonly onRefusedCall?: (report: CrashReport) => void;
   /** Called when the store was restored from an older copy and has lost later writes. */
   readonly onRestored?: () => void;
 }
@@ -73,7 +73,7 @@
   /** @param parts Decoder and receivers of changes. */
   constructor(parts: StateInForceParts) {
     this.#parts = parts;
-    this.#servers = new ServerEntries({ ...parts, held: this.#cache });
+    this.#servers = new ServerEntries({ ...parts, cache: this.#cache });
   }
 
   /** Position up to which changes of the store are applied. */
--- a/tests/ends_news_test.ts
+++ b/tests/ends_news_test.ts
@@ -33,13 +33,13 @@
     Array.from(
       { length: OTHER_CALLS },
       (_, at) =>
-        quarantine.recordEnd(
+        quarantine.recordCrash(
           createContent(`other ${index} ${at}`),
           server,
           nowMs,
         ),
     );
-    quarantine.recordEnd(CRASHING_CONTENT, server, nowMs);
+    quarantine.recordCrash(CRASHING_CONTENT, server, nowMs);
   });
 }
 
@@ -51,7 +51,10 @@
         recordCrashes(listRunning(), clock.nowMs());
         await clock.advance(2_000);
         const informed = listRunning().filter(({ quarantine }) =>
-          quarantine.readHeldMs(CRASHING_CONTENT, clock.nowMs()) > 0
+          quarantine.readRemainingQuarantineMs(
+            CRASHING_CONTENT,
+            clock.nowMs(),
+          ) > 0
         );
         assert.equal(informed.length, 3 * perRegion);
       });
@@ -67,7 +70,9 @@
     network.passes = () => true;
     await clock.advance(3_000);
     const { quarantine } = all.get(cutOff)!;
-    assert.ok(quarantine.readHeldMs(CRASHING_CONTENT, clock.nowMs()) > 0);
+    assert.ok(
+      quarantine.readRemainingQuarantineMs(CRASHING_CONTENT, clock.nowMs()) > 0,
+    );
   });
 
   it("reach a region through a third one, when it is cut off from the region of the crashes", async () => {
@@ -82,7 +87,7 @@
     );
     await clock.advance(3_000);
     const informed = running.filter(({ quarantine }) =>
-      quarantine.readHeldMs(CRASHING_CONTENT, clock.nowMs()) > 0
+      quarantine.readRemainingQuarantineMs(CRASHING_CONTENT, clock.nowMs()) > 0
     );
     assert.equal(informed.length, running.length);
   });
--- a/tests/lease_of_earlier_era_test.ts
+++ b/tests/lease_of_earlier_era_test.ts
@@ -72,12 +72,12 @@
         prefix: "",
         onRestored: () => {
           sinks.onRestored();
-          entry.writeAgain();
+          entry.rewriteIfLost();
         },
       });
       return follower;
     },
-    storeQuarantinedCall: (call) => void quarantinedCalls.keep(call),
+    storeQuarantinedCall: (call) => void quarantinedCalls.store(call),
   });
   gateway.start(ended.signal);
   entry.start(ended.signal);
@@ -132,7 +132,11 @@
     const crashingContent = createContent("bad");
     await clock.advance(500);
     ["s1", "s2", "s3"].forEach((server) =>
-      quarantine.recordEnd(crashingContent, toBackendId(server), clock.nowMs())
+      quarantine.recordCrash(
+        crashingContent,
+        toBackendId(server),
+        clock.nowMs(),
+      )
     );
     await clock.advance(1_000);
     const keys = [OWN_KEY, toRefusedCallKey(crashingContent.fingerprint)];
--- a/tests/refused_call_kept_test.ts
+++ b/tests/refused_call_kept_test.ts
@@ -41,7 +41,7 @@
       });
       return follower;
     },
-    storeQuarantinedCall: (call) => void entries.keep(call),
+    storeQuarantinedCall: (call) => void entries.store(call),
   });
   gateway.start(ended.signal);
   return { ended, quarantine: gateway.forwarder.quarantine };
@@ -52,7 +52,7 @@
   nowMs: number,
 ): void {
   ["s1", "s2", "s3"].forEach((server) =>
-    quarantine.recordEnd(CRASHING_CONTENT, toBackendId(server), nowMs)
+    quarantine.recordCrash(CRASHING_CONTENT, toBackendId(server), nowMs)
   );
 }
 
@@ -72,7 +72,7 @@
     await runUntilQuarantined(clock, store);
     const second = startInstance(clock, store, "north-2");
     await clock.advance(500);
-    const remainingMs = second.quarantine.readHeldMs(
+    const remainingMs = second.quarantine.readRemainingQuarantineMs(
       CRASHING_CONTENT,
       clock.nowMs(),
     );
