--- a/admission/admission_queue.ts
+++ b/admission/admission_queue.ts
@@ -20,16 +20,16 @@
 export type AdmissionResult = Result<void, Failure>;
 
 /** Constructor arguments of {@linkcode AdmissionQueue}. */
-export interface AdmissionParts {
+export interface AdmissionQueueParts {
   readonly clock: Clock;
   /** Returns whether there is capacity to start a request of a class now. */
-  readonly hasRoom: (priority: Priority) => boolean;
+  readonly hasCapacity: (priority: Priority) => boolean;
   /** Called for each admitted request, before the next one is considered. */
   readonly recordStart: (priority: Priority) => void;
 }
 
 /** Options of {@linkcode AdmissionQueue}. */
-export interface AdmissionOptions {
+export interface AdmissionQueueOptions {
   /** Maximum number of waiting requests. Default: 1,000. */
   readonly maxLength?: number;
   /** Maximum wait of an interactive request, in milliseconds. Default: 2,000. */
@@ -58,7 +58,7 @@
 export class AdmissionQueue {
   /** Number of refused requests, by reason. */
   readonly refused = { overloaded: 0, late: 0, shed: 0 };
-  readonly #parts: AdmissionParts;
+  readonly #parts: AdmissionQueueParts;
   readonly #maxLength: number;
   readonly #maxInteractiveWaitMs: number;
   readonly #waiting = new Map<Priority, WaitingRequest[]>(
@@ -73,7 +73,7 @@
    * @param parts Clock and capacity.
    * @param options Bounds of the queue.
    */
-  constructor(parts: AdmissionParts, options: AdmissionOptions = {}) {
+  constructor(parts: AdmissionQueueParts, options: AdmissionQueueOptions = {}) {
     this.#parts = parts;
     this.#maxLength = options.maxLength ?? DEFAULT_MAX_LENGTH;
     this.#maxInteractiveWaitMs = options.maxInteractiveWaitMs ??
@@ -102,7 +102,7 @@
     }
     if (
       this.#countWaitingUpTo(request.priority) === 0 &&
-      this.#parts.hasRoom(request.priority)
+      this.#parts.hasCapacity(request.priority)
     ) {
       this.#recordStart(request, nowMs);
       return Promise.resolve(ok(undefined));
@@ -118,7 +118,7 @@
     this.#refuseLate(nowMs);
     PRIORITIES.forEach((priority) => {
       while (
-        this.#getQueue(priority).length > 0 && this.#parts.hasRoom(priority)
+        this.#getQueue(priority).length > 0 && this.#parts.hasCapacity(priority)
       ) {
         const next = this.#takeNext(priority);
         this.#recordStart(next.request, nowMs);
--- a/admission/admission_test.ts
+++ b/admission/admission_test.ts
@@ -12,7 +12,7 @@
   const slots = { free: capacity };
   const queue = new AdmissionQueue({
     clock,
-    hasRoom: () => slots.free > 0,
+    hasCapacity: () => slots.free > 0,
     recordStart: () => slots.free--,
   });
   const started: string[] = [];
--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -13,7 +13,7 @@
 }
 
 /** Usage and demand of a team. */
-export interface TeamUse {
+export interface TeamUsage {
   /** Total weight of the calls that were admitted within the window. */
   readonly used: number;
   /** Total weight of all recent calls, admitted or not; each decays exponentially with its age. */
@@ -21,17 +21,17 @@
 }
 
 /** Usage of a team, as an instance reports it to others. */
-export interface ReportedUse extends TeamUse {
+export interface ReportedTeamUsage extends TeamUsage {
   readonly team: TeamId;
 }
 
 /** Usage of a team in one region, excluding that of this instance. */
-export interface RegionUse extends TeamUse {
+export interface RegionTeamUsage extends TeamUsage {
   readonly region: RegionId;
 }
 
 /** Number of known instances of a region, and of those whose reports arrive. */
-export interface RegionCount {
+export interface RegionInstanceCount {
   readonly region: RegionId;
   /** Known instances, this one included. */
   readonly known: number;
@@ -58,7 +58,7 @@
   readonly random: Random;
   readonly bounds: LimitBounds;
   /** Returns what other instances report of a team's usage, by region, the own region included. */
-  readonly readOthers: (team: TeamId) => readonly RegionUse[];
+  readonly readUsageOfOthers: (team: TeamId) => readonly RegionTeamUsage[];
 }
 
 /**
@@ -113,7 +113,7 @@
   /** Limit in the configuration in force. */
   limit: TeamLimit;
   /** Fraction of the demand in each region when the reports of all instances last arrived. */
-  parts: ReadonlyMap<RegionId, number> | undefined;
+  regionFractions: ReadonlyMap<RegionId, number> | undefined;
 }
 
 /**
@@ -127,7 +127,7 @@
   readonly #parts: FleetLimitsParts;
   readonly #decayTimeMs: number;
   readonly #buckets = new Map<TeamId, Bucket>();
-  #counts: readonly RegionCount[];
+  #counts: readonly RegionInstanceCount[];
   #knownCount = 1;
   #countedMs = Number.NEGATIVE_INFINITY;
 
@@ -145,8 +145,8 @@
    * @param registeredCount Number of instances that the store lists.
    * @param nowMs Current time, in milliseconds.
    */
-  setCounts(
-    counts: readonly RegionCount[],
+  setInstanceCounts(
+    counts: readonly RegionInstanceCount[],
     registeredCount: number,
     nowMs: number,
   ): void {
@@ -169,7 +169,7 @@
     const { limit } = team;
     if (limit === undefined) return { kind: "admitted" };
     const bucket = this.#readBucket(team.id, limit, nowMs);
-    const others = this.#parts.readOthers(team.id);
+    const others = this.#parts.readUsageOfOthers(team.id);
     const part = this.#computeUsableFraction(bucket, others, nowMs);
     const budget = this.#computeBudget(limit);
     const mayUse = part * budget;
@@ -199,7 +199,7 @@
   }
 
   /** Refunds the weight of an admitted call that did not run. */
-  giveBack(
+  refund(
     team: TeamId,
     weight: number,
     at: { readonly admittedMs: number; readonly nowMs: number },
@@ -216,7 +216,7 @@
   }
 
   /** Returns the usage to report to others: that of teams that are not far below their limit. */
-  listOwn(nowMs: number): readonly ReportedUse[] {
+  listOwnUsage(nowMs: number): readonly ReportedTeamUsage[] {
     return [...this.#buckets].flatMap(([team, bucket]) => {
       this.#decayDemand(bucket, nowMs);
       const used = this.#readUsage(bucket, nowMs);
@@ -248,7 +248,7 @@
       demand: this.#computePriorDemand(limit, nowMs),
       decayedMs: nowMs,
       limit,
-      parts: undefined,
+      regionFractions: undefined,
     };
     this.#buckets.set(team, bucket);
     return bucket;
@@ -329,16 +329,16 @@
   /** Returns the fraction of the limit that the reporting instances may use together. */
   #computeUsableFraction(
     bucket: Bucket,
-    others: readonly RegionUse[],
+    others: readonly RegionTeamUsage[],
     nowMs: number,
   ): number {
     if (nowMs - this.#countedMs > COUNT_VALID_MS) return 1 / this.#knownCount;
     const reporting = sumOf(this.#counts, (count) => count.heard);
     if (reporting >= this.#knownCount) {
-      bucket.parts = this.#computeRegionFractions(bucket, others);
+      bucket.regionFractions = this.#computeRegionFractions(bucket, others);
       return 1;
     }
-    const { parts } = bucket;
+    const { regionFractions: parts } = bucket;
     if (parts === undefined) return reporting / this.#knownCount;
     return Math.min(
       1,
@@ -352,11 +352,11 @@
   /** Returns the fraction of the demand in each region; each instance adds a small constant. */
   #computeRegionFractions(
     bucket: Bucket,
-    others: readonly RegionUse[],
+    others: readonly RegionTeamUsage[],
   ): ReadonlyMap<RegionId, number> {
     const { ownRegion } = this.#parts;
     const budget = this.#computeBudget(bucket.limit);
-    const weigh = ({ known, region }: RegionCount) => {
+    const weigh = ({ known, region }: RegionInstanceCount) => {
       const asked = sumOf(
         others.filter((use) => use.region === region),
         (use) => use.asked,
--- a/admission/fleet_limits_test.ts
+++ b/admission/fleet_limits_test.ts
@@ -3,7 +3,7 @@
 import { createRandom } from "../clock/mod.ts";
 import { toRegionId, toTeamId } from "../ids/mod.ts";
 import type { Team } from "../teams/mod.ts";
-import { FleetLimits, type RegionUse } from "./fleet_limits.ts";
+import { FleetLimits, type RegionTeamUsage } from "./fleet_limits.ts";
 
 const NORTH = toRegionId("north");
 const SOUTH = toRegionId("south");
@@ -19,7 +19,7 @@
 
 function createLimits(
   { others = [], startedMs = 0 }: {
-    readonly others?: readonly RegionUse[];
+    readonly others?: readonly RegionTeamUsage[];
     readonly startedMs?: number;
   } = {},
 ): FleetLimits {
@@ -28,9 +28,9 @@
     startedMs,
     random: createRandom(1),
     bounds: { windowMs: 8_000, overshoot: 0, slack: 0 },
-    readOthers: () => others,
+    readUsageOfOthers: () => others,
   });
-  limits.setCounts([{ region: NORTH, known: 1, heard: 1 }], 1, NOW_MS);
+  limits.setInstanceCounts([{ region: NORTH, known: 1, heard: 1 }], 1, NOW_MS);
   return limits;
 }
 
@@ -59,7 +59,11 @@
     const limits = createLimits();
     admitMany(limits, 10);
     const laterMs = NOW_MS + 9_000;
-    limits.setCounts([{ region: NORTH, known: 1, heard: 1 }], 1, laterMs);
+    limits.setInstanceCounts(
+      [{ region: NORTH, known: 1, heard: 1 }],
+      1,
+      laterMs,
+    );
     assert.ok(admitMany(limits, 10, laterMs) > 0);
   });
 
@@ -68,7 +72,7 @@
     const at = { admittedMs: NOW_MS, nowMs: NOW_MS };
     for (let call = 0; call < 100; call++) {
       assert.equal(limits.admit(TEAM, 450, NOW_MS).kind, "admitted");
-      limits.giveBack(TEAM.id, 450, at);
+      limits.refund(TEAM.id, 450, at);
     }
   });
 
@@ -93,15 +97,23 @@
 
   it("assumes prior usage after a start, since other instances may have started too", () => {
     const limits = createLimits({ startedMs: NOW_MS });
-    limits.setCounts([{ region: NORTH, known: 10, heard: 10 }], 10, NOW_MS);
+    limits.setInstanceCounts(
+      [{ region: NORTH, known: 10, heard: 10 }],
+      10,
+      NOW_MS,
+    );
     assert.ok(admitMany(limits, 1) <= BUDGET);
-    const reported = limits.listOwn(NOW_MS)[0]!;
+    const reported = limits.listOwnUsage(NOW_MS)[0]!;
     assert.ok(reported.used >= 0.9 * BUDGET / 10);
   });
 
   it("admits only its equal share while the counts of instances are outdated", () => {
     const limits = createLimits();
-    limits.setCounts([{ region: NORTH, known: 10, heard: 10 }], 10, NOW_MS);
+    limits.setInstanceCounts(
+      [{ region: NORTH, known: 10, heard: 10 }],
+      10,
+      NOW_MS,
+    );
     assert.ok(admitMany(limits, 1, NOW_MS + 5_000) <= BUDGET / 10);
   });
 
@@ -110,7 +122,7 @@
       others: [{ region: SOUTH, used: 10, asked: 300 }],
     });
     const count = (heard: number) =>
-      limits.setCounts(
+      limits.setInstanceCounts(
         [
           { region: NORTH, known: 1, heard: 1 },
           { region: SOUTH, known: 1, heard },
@@ -128,8 +140,8 @@
   it("does not report a team that is far below its limit", () => {
     const limits = createLimits();
     limits.admit(TEAM, 10, NOW_MS);
-    assert.deepEqual(limits.listOwn(NOW_MS), []);
+    assert.deepEqual(limits.listOwnUsage(NOW_MS), []);
     limits.admit(TEAM, 100, NOW_MS);
-    assert.equal(limits.listOwn(NOW_MS).length, 1);
+    assert.equal(limits.listOwnUsage(NOW_MS).length, 1);
   });
 });
--- a/admission/team_limits.ts
+++ b/admission/team_limits.ts
@@ -12,7 +12,7 @@
 }
 
 /** The rate of a team that an instance needs to borrow. */
-export interface BorrowWish {
+export interface RateShortfall {
   readonly team: TeamId;
   /** Requests per second. */
   readonly wanted: number;
@@ -123,7 +123,7 @@
   }
 
   /** Returns the teams that need more than their share here, with the total rate to borrow. */
-  decideBorrow(nowMs: number): readonly BorrowWish[] {
+  listShortfalls(nowMs: number): readonly RateShortfall[] {
     return [...this.#buckets]
       .map(([team, bucket]) => {
         this.#rollWindow(bucket, nowMs);
@@ -135,7 +135,7 @@
   }
 
   /** Returns the rate of a valid loan from a lender, in requests per second, or 0. */
-  readBorrowed(team: TeamId, lender: string, nowMs: number): number {
+  readBorrowedRate(team: TeamId, lender: string, nowMs: number): number {
     const loans = this.#buckets.get(team)?.borrowed ?? [];
     return loans.find(({ party, expiresMs }) =>
       party === lender && expiresMs > nowMs
@@ -298,6 +298,6 @@
 }
 
 /** A request of an instance to borrow from another one. */
-export interface BorrowRequest extends BorrowWish {
+export interface BorrowRequest extends RateShortfall {
   readonly from: InstanceId;
 }
--- a/bench/loans_fleet.ts
+++ b/bench/loans_fleet.ts
@@ -38,7 +38,7 @@
     const { isFrozen, isHeard } = this.#parts;
     this.#limits.forEach((limits, at) => {
       if (isFrozen(at, nowMs)) return;
-      limits.decideBorrow(nowMs).forEach(({ wanted }) => {
+      limits.listShortfalls(nowMs).forEach(({ wanted }) => {
         for (let lender = 0; lender < HOLDER_COUNT; lender++) {
           const isLenderAvailable = isHeard(at, lender, nowMs) &&
             isHeard(lender, at, nowMs) && !isFrozen(lender, nowMs);
--- a/bench/sums_fleet.ts
+++ b/bench/sums_fleet.ts
@@ -1,8 +1,8 @@
 import {
   FleetLimits,
-  type RegionCount,
-  type RegionUse,
-  type ReportedUse,
+  type RegionInstanceCount,
+  type RegionTeamUsage,
+  type ReportedTeamUsage,
 } from "../admission/mod.ts";
 import { createRandom } from "../clock/mod.ts";
 import type { Team, TeamLimit } from "../teams/mod.ts";
@@ -26,7 +26,7 @@
 
 interface SentReport {
   readonly atMs: number;
-  readonly usage: ReportedUse | undefined;
+  readonly usage: ReportedTeamUsage | undefined;
 }
 
 /** Fleet whose instances report sums of usage to each other, as the gateway does. */
@@ -74,7 +74,7 @@
     this.#nowMs = nowMs;
     this.#instances.forEach(({ limits }, at) => {
       if (this.#parts.isFrozen(at, nowMs)) return;
-      const [usage] = limits.listOwn(nowMs);
+      const [usage] = limits.listOwnUsage(nowMs);
       if (usage !== undefined) this.sent++;
       this.#sentReports[at]!.push({ atMs: nowMs, usage });
       if (this.#sentReports[at]!.length > 40) this.#sentReports[at]!.shift();
@@ -100,7 +100,7 @@
       startedMs,
       random: createRandom(instance + 1),
       bounds: this.#parts.bounds,
-      readOthers: () => this.#readOthers(instance),
+      readUsageOfOthers: () => this.#readOthers(instance),
     });
   }
 
@@ -108,11 +108,15 @@
     const state = this.#instances[instance]!;
     const { lastReceivedMs, limits } = state;
     const live = new Set<number>();
-    const counts = REGIONS.map((region): RegionCount => ({
+    const counts = REGIONS.map((region): RegionInstanceCount => ({
       region,
       known: 0,
       heard: 0,
-    })) as { region: RegionCount["region"]; known: number; heard: number }[];
+    })) as {
+      region: RegionInstanceCount["region"];
+      known: number;
+      heard: number;
+    }[];
     lastReceivedMs.forEach((receivedMs, other) => {
       const isLocal = readRegion(other) === readRegion(instance);
       const isReachable = other === instance ||
@@ -127,10 +131,10 @@
       live.add(other);
     });
     state.live = live;
-    limits.setCounts(counts, this.#parts.instances, nowMs);
+    limits.setInstanceCounts(counts, this.#parts.instances, nowMs);
   }
 
-  #readOthers(instance: number): readonly RegionUse[] {
+  #readOthers(instance: number): readonly RegionTeamUsage[] {
     const nowMs = this.#nowMs;
     const { lastReceivedMs, live } = this.#instances[instance]!;
     return REGIONS.map((region, at) => {
@@ -163,7 +167,7 @@
 function findLastReport(
   reports: readonly SentReport[],
   untilMs: number,
-): ReportedUse | undefined {
+): ReportedTeamUsage | undefined {
   for (let at = reports.length - 1; at >= 0; at--) {
     if (reports[at]!.atMs <= untilMs) return reports[at]!.usage;
   }
--- a/controllers/share_limits.ts
+++ b/controllers/share_limits.ts
@@ -1,4 +1,4 @@
-import type { BorrowWish, TeamLimits } from "../admission/mod.ts";
+import type { RateShortfall, TeamLimits } from "../admission/mod.ts";
 import type { TeamId } from "../ids/mod.ts";
 import type { InstanceRecord, Membership } from "../membership/mod.ts";
 import type { GatewayParts } from "../ports/mod.ts";
@@ -47,7 +47,7 @@
 
   /** Borrows for all teams that need more than their share on this instance. */
   async borrowAll(): Promise<void> {
-    const shortfalls = this.#gateway.limits.decideBorrow(
+    const shortfalls = this.#gateway.limits.listShortfalls(
       this.#gateway.parts.clock.nowMs(),
     );
     await Promise.all(shortfalls.map((each) => this.#borrow(each)));
@@ -63,13 +63,13 @@
     if (last !== undefined && nowMs - last.startedMs < last.pauseMs) {
       return await last.answered;
     }
-    const shortfall = this.#gateway.limits.decideBorrow(nowMs).find((each) =>
+    const shortfall = this.#gateway.limits.listShortfalls(nowMs).find((each) =>
       each.team === team
     );
     if (shortfall !== undefined) await this.#borrow(shortfall);
   }
 
-  async #borrow(shortfall: BorrowWish): Promise<void> {
+  async #borrow(shortfall: RateShortfall): Promise<void> {
     const startedMs = this.#gateway.parts.clock.nowMs();
     const last = this.#lastRounds.get(shortfall.team);
     if (last !== undefined && startedMs - last.startedMs < last.pauseMs) {
@@ -104,7 +104,7 @@
  */
 async function borrowFromAll(
   gateway: LimitBorrowerGateway,
-  shortfall: BorrowWish,
+  shortfall: RateShortfall,
 ): Promise<number> {
   const { clock, self } = gateway.parts;
   const lenders = gateway.readLimitHolders(shortfall.team)
@@ -113,7 +113,7 @@
     .filter((record): record is InstanceRecord => record !== undefined);
   const nowMs = clock.nowMs();
   const borrowed = lenders.map(({ id }) =>
-    gateway.limits.readBorrowed(shortfall.team, id, nowMs)
+    gateway.limits.readBorrowedRate(shortfall.team, id, nowMs)
   );
   const equalPart = shortfall.wanted / Math.max(1, lenders.length);
   const granted = await Promise.all(
@@ -148,7 +148,7 @@
 async function requestLoan(
   gateway: LimitBorrowerGateway,
   lender: InstanceRecord,
-  request: BorrowWish,
+  request: RateShortfall,
 ): Promise<number> {
   const { clock, peers, self } = gateway.parts;
   const askedMs = clock.nowMs();
--- a/daemon/fleet_reporter.ts
+++ b/daemon/fleet_reporter.ts
@@ -19,7 +19,7 @@
   ReportWriter,
   type SendReport,
 } from "../fleet/mod.ts";
-import type { ReportedUse } from "../admission/mod.ts";
+import type { ReportedTeamUsage } from "../admission/mod.ts";
 import type { CallQuarantine } from "../quarantine/mod.ts";
 import type { StateSource } from "../state/mod.ts";
 import { CrashGossip } from "./crash_gossip.ts";
@@ -71,7 +71,7 @@
   /** Records prompt parts that other instances have sent to servers. */
   readonly recordPrefixes: (prefixes: readonly ReportedPrefix[]) => void;
   /** Returns the usage of teams at this instance. Default: none, as no team has a limit. */
-  readonly listTeamUsage?: (nowMs: number) => readonly ReportedUse[];
+  readonly listTeamUsage?: (nowMs: number) => readonly ReportedTeamUsage[];
   /** Calls that servers had when they crashed, here or at other instances. */
   readonly quarantine: CallQuarantine;
   /** Limits that servers advertised. Default: none. */
--- a/filters/relay_stream.ts
+++ b/filters/relay_stream.ts
@@ -7,7 +7,11 @@
   type StreamEvent,
 } from "../engine/mod.ts";
 import type { AttemptId } from "../ids/mod.ts";
-import { createContinuation, Delivered, EventSequence } from "../relay/mod.ts";
+import {
+  createContinuation,
+  DeliveredStream,
+  EventSequence,
+} from "../relay/mod.ts";
 import { createFailure, type Failure, toErrorBody } from "../results/mod.ts";
 import type { Exchange, ReplyEvent } from "./exchange.ts";
 import { readCall } from "./exchange.ts";
@@ -68,7 +72,7 @@
   const { source } = stream;
   const call = readCall(exchange);
   const signal = getDeadlineSignal(parts.clock, exchange);
-  const delivered = new Delivered();
+  const delivered = new DeliveredStream();
   const toReplyEvent = createEventWriter(exchange);
   let events: AsyncIterable<StreamEvent> | undefined = stream.events;
   let sequence = new EventSequence(source.attempt);
--- a/fleet/encode_report.ts
+++ b/fleet/encode_report.ts
@@ -16,7 +16,7 @@
   ReportedLoad,
   ReportedPrefix,
 } from "./fleet_report.ts";
-import type { ReportedUse } from "../admission/mod.ts";
+import type { ReportedTeamUsage } from "../admission/mod.ts";
 import type { CrashReport } from "../quarantine/mod.ts";
 
 /** Method of the JSON-RPC notification that contains a report. */
@@ -299,11 +299,11 @@
 
 type UsageRow = readonly [team: string, used: number, asked: number];
 
-function encodeUsageRow({ asked, team, used }: ReportedUse): UsageRow {
+function encodeUsageRow({ asked, team, used }: ReportedTeamUsage): UsageRow {
   return [team, Math.round(used), Math.round(asked)];
 }
 
-function decodeUsageRow([team, used, asked]: UsageRow): ReportedUse {
+function decodeUsageRow([team, used, asked]: UsageRow): ReportedTeamUsage {
   return {
     team: toTeamId(toText(team)),
     used: Math.max(0, toNumber(used)),
--- a/fleet/fleet_report.ts
+++ b/fleet/fleet_report.ts
@@ -1,4 +1,4 @@
-import type { ReportedUse } from "../admission/mod.ts";
+import type { ReportedTeamUsage } from "../admission/mod.ts";
 import type {
   BackendId,
   FailureDomainId,
@@ -105,7 +105,7 @@
   /** Reports of server crashes during calls. Default: none. */
   readonly ends?: readonly CrashReport[];
   /** Usage of teams at the instances that `scope` names. Default: none. */
-  readonly uses?: readonly ReportedUse[];
+  readonly uses?: readonly ReportedTeamUsage[];
   /** Limits that servers of the sender's region advertise. Default: none. */
   readonly limits?: readonly ReportedLimit[];
   /** Whether the sender requests the members that the receiver knows. */
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -7,7 +7,7 @@
   type MemberRecord,
   type MemberState,
 } from "./fleet_report.ts";
-import type { RegionCount } from "../admission/mod.ts";
+import type { RegionInstanceCount } from "../admission/mod.ts";
 import { comparePositions } from "../store/mod.ts";
 import type { LoadTracker } from "./load_tracker.ts";
 import { TeamUsageTracker } from "./team_usage_tracker.ts";
@@ -281,7 +281,7 @@
    * Returns, for each region, the number of instances that share limits and how many of
    * them are live.
    */
-  countInstancesByRegion(nowMs: number): readonly RegionCount[] {
+  countInstancesByRegion(nowMs: number): readonly RegionInstanceCount[] {
     const entries = [...this.#members.values()];
     return this.listRegions().map((region) => {
       const own = region === this.#self.region ? 1 : 0;
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -6,7 +6,7 @@
   ReportedLimit,
   ReportedPrefix,
 } from "./fleet_report.ts";
-import type { ReportedUse } from "../admission/mod.ts";
+import type { ReportedTeamUsage } from "../admission/mod.ts";
 import type { CrashReport } from "../quarantine/mod.ts";
 import type { LoadTracker } from "./load_tracker.ts";
 
@@ -33,7 +33,7 @@
   readonly fleet: FleetView;
   readonly loads: LoadTracker;
   /** Returns the usage of teams at this instance. */
-  readonly listTeamUsage: (nowMs: number) => readonly ReportedUse[];
+  readonly listTeamUsage: (nowMs: number) => readonly ReportedTeamUsage[];
   /** Returns the limits that servers have advertised, to this instance or in its region. */
   readonly listLimits: (
     scope: FleetReport["scope"],
--- a/fleet/team_usage_tracker.ts
+++ b/fleet/team_usage_tracker.ts
@@ -1,8 +1,12 @@
-import type { RegionUse, ReportedUse, TeamUse } from "../admission/mod.ts";
+import type {
+  RegionTeamUsage,
+  ReportedTeamUsage,
+  TeamUsage,
+} from "../admission/mod.ts";
 import type { RegionId, TeamId } from "../ids/mod.ts";
 import { RememberedReports } from "./remembered_reports.ts";
 
-type UsageByTeam = ReadonlyMap<TeamId, TeamUse>;
+type UsageByTeam = ReadonlyMap<TeamId, TeamUsage>;
 
 const NO_USAGE: UsageByTeam = new Map();
 
@@ -34,12 +38,12 @@
    * @param sequence Sequence number of the report.
    * @param usage Usage that it contains.
    */
-  remember(sequence: number, usage: readonly ReportedUse[]): void {
+  remember(sequence: number, usage: readonly ReportedTeamUsage[]): void {
     this.#reportedOwn.remember(sequence, toUsageByTeam(usage));
   }
 
   /** Returns the usage of a team by the other instances, by region. */
-  readOthers(team: TeamId): readonly RegionUse[] {
+  readOthers(team: TeamId): readonly RegionTeamUsage[] {
     const local = this.#summary === undefined
       ? [...this.#local.values()].map((usage) => usage.get(team))
       : [this.#summary.get(team)];
@@ -56,7 +60,7 @@
    *
    * @param own Usage at this instance.
    */
-  sumLocal(own: readonly ReportedUse[]): readonly ReportedUse[] {
+  sumLocal(own: readonly ReportedTeamUsage[]): readonly ReportedTeamUsage[] {
     const all = [toUsageByTeam(own), ...this.#local.values()];
     const teams = new Set(all.flatMap((usage) => [...usage.keys()]));
     return [...teams].map((team) => ({
@@ -70,12 +74,12 @@
   }
 
   /** Replaces the last usage reported by an instance of the local region. */
-  replaceInstance(reporter: string, usage: readonly ReportedUse[]): void {
+  replaceInstance(reporter: string, usage: readonly ReportedTeamUsage[]): void {
     this.#local.set(reporter, toUsageByTeam(usage));
   }
 
   /** Replaces the last usage reported for a remote region. */
-  replaceRegion(region: RegionId, usage: readonly ReportedUse[]): void {
+  replaceRegion(region: RegionId, usage: readonly ReportedTeamUsage[]): void {
     this.#regions.set(region, toUsageByTeam(usage));
   }
 
@@ -85,7 +89,7 @@
    * @param usage Usage by all instances of the region, including this one.
    * @param sequence Sequence number of this instance's report that the usage includes; 0: none.
    */
-  replaceSummary(usage: readonly ReportedUse[], sequence: number): void {
+  replaceSummary(usage: readonly ReportedTeamUsage[], sequence: number): void {
     const own = this.#reportedOwn.find(sequence) ?? NO_USAGE;
     this.#summary = new Map(usage.map(({ asked, team, used }) => {
       const ownUsage = own.get(team);
@@ -112,11 +116,11 @@
   }
 }
 
-function toUsageByTeam(usage: readonly ReportedUse[]): UsageByTeam {
+function toUsageByTeam(usage: readonly ReportedTeamUsage[]): UsageByTeam {
   return new Map(usage.map(({ asked, team, used }) => [team, { asked, used }]));
 }
 
-function sumUsage(usage: readonly TeamUse[]): TeamUse {
+function sumUsage(usage: readonly TeamUsage[]): TeamUsage {
   return usage.reduce(
     (sum, { asked, used }) => ({
       used: sum.used + used,
--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -1,7 +1,7 @@
 import {
   FleetLimits,
   type LimitBounds,
-  type ReportedUse,
+  type ReportedTeamUsage,
 } from "../admission/mod.ts";
 import { type Clock, type Random, scheduleAfterReading } from "../clock/mod.ts";
 import type { FleetView, LoadTracker, ReportedPrefix } from "../fleet/mod.ts";
@@ -120,7 +120,7 @@
       startedMs: parts.clock.nowMs(),
       random,
       bounds: parts.limitBounds,
-      readOthers: (team) => fleet.teamUsage.readOthers(team),
+      readUsageOfOthers: (team) => fleet.teamUsage.readOthers(team),
     });
     this.#gate = new CallGate({ ...parts, limits: this.#teamLimits });
     this.#replies = new CallReplies({
@@ -223,15 +223,15 @@
   }
 
   /** Returns the usage of teams at this instance, for the next report. */
-  listTeamUsage(nowMs: number): readonly ReportedUse[] {
-    return this.#teamLimits.listOwn(nowMs);
+  listTeamUsage(nowMs: number): readonly ReportedTeamUsage[] {
+    return this.#teamLimits.listOwnUsage(nowMs);
   }
 
   /** Updates the numbers of regions and instances among which the limits of teams are shared. */
   updateInstanceCounts(): void {
     const { clock, fleet } = this.#parts;
     const nowMs = clock.nowMs();
-    this.#teamLimits.setCounts(
+    this.#teamLimits.setInstanceCounts(
       fleet.countInstancesByRegion(nowMs),
       fleet.registeredCount,
       nowMs,
--- a/forwarding/call_gate.ts
+++ b/forwarding/call_gate.ts
@@ -110,7 +110,7 @@
           settle: (mayHaveRun) => {
             if (mayHaveRun) return;
             const at = { admittedMs, nowMs: clock.nowMs() };
-            limits.giveBack(team.id, weight, at);
+            limits.refund(team.id, weight, at);
             countResult("given-back");
           },
         });
--- a/relay/continuation.ts
+++ b/relay/continuation.ts
@@ -9,7 +9,7 @@
 }
 
 /** The part of one stream that was delivered to the caller so far. */
-export class Delivered {
+export class DeliveredStream {
   /** Text of the only choice. */
   text = "";
   /** Number of chunks with text. */
@@ -50,7 +50,7 @@
  */
 export function createContinuation(
   body: Readonly<Record<string, unknown>>,
-  delivered: Delivered,
+  delivered: DeliveredStream,
 ): Readonly<Record<string, unknown>> | undefined {
   if (delivered.text === "") return body;
   const isJoinable = (body.n ?? 1) === 1 && body.tools === undefined &&
--- a/relay/event_sequence_test.ts
+++ b/relay/event_sequence_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { END_OF_STREAM } from "../engine/mod.ts";
-import { createContinuation, Delivered } from "./continuation.ts";
+import { createContinuation, DeliveredStream } from "./continuation.ts";
 import { EventSequence } from "./event_sequence.ts";
 
 describe("EventSequence", () => {
@@ -50,7 +50,7 @@
 
 describe("createContinuation()", () => {
   it("requests the rest of an answer after the delivered text", () => {
-    const delivered = new Delivered();
+    const delivered = new DeliveredStream();
     delivered.record(
       '{"id":"a","choices":[{"delta":{"content":"one "}}]}',
       false,
@@ -71,7 +71,7 @@
   });
 
   it("returns nothing for answers that cannot be joined", () => {
-    const delivered = new Delivered();
+    const delivered = new DeliveredStream();
     delivered.record('{"choices":[{"delta":{"content":"one "}}]}', false);
     assert.equal(
       createContinuation({ n: 2, messages: [] }, delivered),
--- a/routing/service_pool.ts
+++ b/routing/service_pool.ts
@@ -1,6 +1,6 @@
 import {
-  type AdmissionOptions,
   AdmissionQueue,
+  type AdmissionQueueOptions,
   BatchShare,
   type Priority,
 } from "../admission/mod.ts";
@@ -50,11 +50,11 @@
    * @param parts Clock, random source, weights and number of dispatching instances.
    * @param options Limits of the queue.
    */
-  constructor(parts: ServicePoolParts, options: AdmissionOptions = {}) {
+  constructor(parts: ServicePoolParts, options: AdmissionQueueOptions = {}) {
     this.#parts = parts;
     this.queue = new AdmissionQueue({
       clock: parts.clock,
-      hasRoom: (priority) => this.hasCapacity(priority),
+      hasCapacity: (priority) => this.hasCapacity(priority),
       recordStart: (priority) =>
         this.#undispatched[priority === "batch" ? "batch" : "other"]++,
     }, options);
--- a/store/write_change.ts
+++ b/store/write_change.ts
@@ -23,7 +23,7 @@
 
 /** A document that holds the ids of the last changes written to it. */
 export interface ChangeLog {
-  /** Newest last; at most {@linkcode KEPT_CHANGE_IDS}. */
+  /** Newest last; at most {@linkcode MAX_CHANGE_IDS}. */
   readonly changeIds: readonly ChangeId[];
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** Number of change ids that a document holds, so that a writer can find its own among them. */
-export const KEPT_CHANGE_IDS = 32;
+export const MAX_CHANGE_IDS = 32;
 const MAX_ATTEMPTS = 8;
 
 /**
@@ -80,7 +80,7 @@
     if (body === undefined) return ok({ kind: "declined", ...known });
     const changeIds = [...(known.document?.changeIds ?? []), change.changeId]
       .slice(
-        -KEPT_CHANGE_IDS,
+        -MAX_CHANGE_IDS,
       );
     const document = { ...body, changeIds } as unknown as T;
     const swapped = await store.swap({
