--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -10,8 +10,8 @@
   type HostHomes,
   type HttpRoute,
   pickService,
+  RouteCallCounter,
   type RouteTable,
-  RouteUse,
 } from "../http_routes/mod.ts";
 import type { BackendId, RegionId } from "../ids/mod.ts";
 import type { Logger } from "../logs/mod.ts";
@@ -101,7 +101,7 @@
   readonly #destinations: DestinationChooser;
   readonly #waitingCalls: CapacityQueue;
   readonly #retryBudgets: FleetRetryBudgets;
-  readonly #routeUsage = new RouteUse();
+  readonly #routeUsage = new RouteCallCounter();
   readonly #sender: CallSender;
   readonly #teamLimits: FleetLimits;
   readonly #gate: CallGate;
@@ -359,7 +359,7 @@
       this.#retryBudgets.recordCall(service.name, call.receivedMs);
       this.#routeUsage.record(route, call.receivedMs);
     }
-    const leastGapMs = table.findLeastGapMs(service.name);
+    const leastGapMs = table.findMaxTokenGapMs(service.name);
     return await this.#forwardUntilDeadline({ ...served, service, leastGapMs });
   }
 
--- a/http_routes/mod.ts
+++ b/http_routes/mod.ts
@@ -12,4 +12,4 @@
 export * from "./host_homes.ts";
 export * from "./http_route.ts";
 export * from "./route_table.ts";
-export * from "./route_use.ts";
+export * from "./route_call_counter.ts";
--- a/http_routes/route_use.ts
+++ b/http_routes/route_call_counter.ts
@@ -9,7 +9,7 @@
 const COUNT_WINDOW_MS = 60_000;
 
 /** Counts the recent calls that callers sent to this instance for routes with home regions. */
-export class RouteUse {
+export class RouteCallCounter {
   readonly #counts = new Map<string, SlidingCount>();
 
   /** Counts a call. A call of a route without home regions is ignored. */
--- a/http_routes/route_use_test.ts
+++ b/http_routes/route_call_counter_test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRoute } from "../tests/route_fixture.ts";
-import { RouteUse } from "./route_use.ts";
+import { RouteCallCounter } from "./route_call_counter.ts";
 
 describe("RouteUse", () => {
   const bound = createRoute("/a/", ["north"]);
 
   it("counts the calls of the last minute", () => {
-    const use = new RouteUse();
+    const use = new RouteCallCounter();
     [0, 30_000, 59_000].forEach((atMs) => use.record(bound, atMs));
     assert.equal(use.read(bound, 59_000), 3);
     assert.equal(use.read(bound, 80_000), 2);
@@ -15,7 +15,7 @@
   });
 
   it("keeps the count when the home regions of a route change, and drops it with the host and path", () => {
-    const use = new RouteUse();
+    const use = new RouteCallCounter();
     use.record(bound, 0);
     const moved = createRoute("/a/", ["south"]);
     use.keepOnly([moved]);
@@ -25,7 +25,7 @@
   });
 
   it("ignores routes without home regions", () => {
-    const use = new RouteUse();
+    const use = new RouteCallCounter();
     const free = createRoute("/f/");
     use.record(free, 0);
     assert.equal(use.read(free, 0), 0);
--- a/http_routes/route_table.ts
+++ b/http_routes/route_table.ts
@@ -62,7 +62,7 @@
    * Returns the strictest objective for the maximum pause between events of a stream,
    * among all routes of a service, in milliseconds; `undefined`: no route has one.
    */
-  findLeastGapMs(service: string): number | undefined {
+  findMaxTokenGapMs(service: string): number | undefined {
     return this.#maxTokenGapsMs.get(service);
   }
 
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -7,7 +7,10 @@
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import { createSilentLogger } from "../logs/mod.ts";
 import { NO_METRICS } from "../metrics/mod.ts";
-import { createDocumentDecoder, PLATFORM_GRAMMAR } from "../platform/mod.ts";
+import {
+  createDocumentDecoder,
+  PLATFORM_HEADER_CODEC,
+} from "../platform/mod.ts";
 import { toOwnLoopback } from "../standin/loopback_net.ts";
 import { MemoryStore } from "../standin/mod.ts";
 import { StateFollower } from "../state/mod.ts";
@@ -111,7 +114,7 @@
     random: createRandom(7),
     logger: createSilentLogger(),
     metrics: NO_METRICS,
-    headerCodec: PLATFORM_GRAMMAR,
+    headerCodec: PLATFORM_HEADER_CODEC,
     client: pool,
     peerClient: pool,
     self: {
