--- a/bench/routing_bench.ts
+++ b/bench/routing_bench.ts
@@ -44,8 +44,8 @@
     },
     "least reported": (request) =>
       listUsable(request).toSorted((a, b) =>
-        a.estimateInSystem(0, request.nowMs) -
-        b.estimateInSystem(0, request.nowMs)
+        a.estimateSequenceCount(0, request.nowMs) -
+        b.estimateSequenceCount(0, request.nowMs)
       )[0],
     "prefix hash": (request) =>
       listUsable(request).toSorted((a, b) =>
--- a/bench/subset_bench.ts
+++ b/bench/subset_bench.ts
@@ -237,7 +237,10 @@
         (model) => cores.get(model.server.id)!.inSystem,
       );
     case "all, least reported":
-      return pickMinimum(models, (model) => model.estimateInSystem(0, nowMs));
+      return pickMinimum(
+        models,
+        (model) => model.estimateSequenceCount(0, nowMs),
+      );
     case "all, sampled":
     case "subset of 64, sampled":
     case "subset of 64, own reports":
@@ -245,7 +248,7 @@
         engines: models,
         size: CALL_SIZE,
         weights: WEIGHTS,
-        deciders: dispatchersPerEngine,
+        dispatcherCount: dispatchersPerEngine,
         nowMs,
         random,
       })!;
@@ -285,7 +288,7 @@
           prefixTokens: 200,
         },
         weights: WEIGHTS,
-        deciders: 10,
+        dispatcherCount: 10,
         nowMs: 10_100,
         random,
       });
--- a/controllers/mod.ts
+++ b/controllers/mod.ts
@@ -10,5 +10,5 @@
 export * from "./observe_engines.ts";
 export * from "./publish_entries.ts";
 export * from "./send_heartbeats.ts";
-export * from "./share_limits.ts";
+export * from "./limit_borrower.ts";
 export * from "./watch_instances.ts";
--- a/controllers/place_versions.ts
+++ b/controllers/place_versions.ts
@@ -12,7 +12,7 @@
 import type { ServicePool } from "../routing/mod.ts";
 import type { GuardedStore } from "../store/mod.ts";
 import { decidePlacement, type PlacedEngine } from "./decide_placement.ts";
-import { LoadRateLimiter } from "./load_rate.ts";
+import { LoadRateLimiter } from "./load_rate_limiter.ts";
 
 /** Parts of an instance that {@linkcode createPlaceVersions} uses. */
 export interface PlaceVersionsGateway {
--- a/controllers/send_heartbeats.ts
+++ b/controllers/send_heartbeats.ts
@@ -58,6 +58,6 @@
     const pool = gateway.readPool(service);
     const firstTokenMs = pool.estimateFirstTokenMs(TYPICAL_CALL);
     if (firstTokenMs === undefined) return [];
-    return [{ service, spare: pool.estimateSpare(), firstTokenMs }];
+    return [{ service, spare: pool.estimateFreeSlots(), firstTokenMs }];
   });
 }
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -18,14 +18,14 @@
 import { RetryBudget } from "../retry/mod.ts";
 import { type BackendServer, toPoolKey } from "../resources/mod.ts";
 import {
+  CreditBalance,
   CreditLedger,
-  CreditPurse,
   pickSubset,
   ServicePool,
 } from "../routing/mod.ts";
 import { GuardedStore, StoreBudget } from "../store/mod.ts";
 import type { PlacementStatus } from "../engine/mod.ts";
-import { LimitBorrower } from "../controllers/share_limits.ts";
+import { LimitBorrower } from "../controllers/limit_borrower.ts";
 import { UsageMeter } from "../usage/mod.ts";
 import type {
   Exchange,
@@ -86,7 +86,7 @@
   /** Keeps the configuration up to date. */
   readonly controller: ConfigurationController;
   readonly #pools = new Map<string, ServicePool>();
-  readonly #purses = new Map<string, CreditPurse>();
+  readonly #purses = new Map<string, CreditBalance>();
   readonly #handlers: PeerHandlers;
   readonly #routes: Routes;
   #inFlight = 0;
@@ -267,7 +267,7 @@
     const pool = new ServicePool({
       clock,
       random,
-      readDeciders: () => this.#countSenders(service),
+      countDispatchers: () => this.#countSenders(service),
       readWeights: () => this.#readWeights(service),
       policies: this.parts.policies,
     }, { maxLength: MAX_QUEUE_LENGTH });
@@ -292,10 +292,10 @@
   }
 
   /** Returns the credits that other regions have granted for a service. */
-  readPurse(service: string): CreditPurse {
+  readPurse(service: string): CreditBalance {
     const known = this.#purses.get(service);
     if (known !== undefined) return known;
-    const purse = new CreditPurse();
+    const purse = new CreditBalance();
     this.#purses.set(service, purse);
     return purse;
   }
--- a/daemon/peer_handlers.ts
+++ b/daemon/peer_handlers.ts
@@ -31,7 +31,7 @@
     },
     "credits.grant": ({ from, service, wanted }) => {
       const capacity = {
-        spare: gateway.readPool(service).estimateSpare(),
+        spare: gateway.readPool(service).estimateFreeSlots(),
         gateways: gateway.membership.liveIds.length,
       };
       return gateway.ledger.grant(
--- a/daemon/routes.ts
+++ b/daemon/routes.ts
@@ -20,7 +20,7 @@
 import { BATCH_HANDLERS } from "../filters/batch_api.ts";
 import { RESOURCE_HANDLERS, toFilter } from "../filters/resource_api.ts";
 import type { RegionId } from "../ids/mod.ts";
-import type { CreditPurse } from "../routing/mod.ts";
+import type { CreditBalance } from "../routing/mod.ts";
 import { readAllowedRegions } from "../resources/mod.ts";
 import { createFailure, type Failure } from "../results/mod.ts";
 import type { Gateway } from "./gateway.ts";
@@ -298,7 +298,7 @@
     const grant = await peers.call(record, "credits.grant", params);
     if (grant.isErr()) return;
     roundTripMs.set(region, clock.nowMs() - nowMs);
-    const purse: CreditPurse = gateway.readPurse(service);
+    const purse: CreditBalance = gateway.readPurse(service);
     purse.record(grant.value, { region, gateway: record.id, askedMs: nowMs });
   };
   return {
--- a/filters/resource_api.ts
+++ b/filters/resource_api.ts
@@ -417,7 +417,7 @@
     case "service": {
       const pool = gateway.readPool(resource.name);
       return {
-        spare: Math.round(pool.estimateSpare()),
+        spare: Math.round(pool.estimateFreeSlots()),
         queued: pool.queue.length,
         refused: pool.queue.refused,
       };
--- a/filters/route_call.ts
+++ b/filters/route_call.ts
@@ -3,8 +3,8 @@
 import type { InstanceRecord } from "../membership/mod.ts";
 import { createFailure, type Failure } from "../results/mod.ts";
 import {
+  type CreditBalance,
   type CreditLedger,
-  type CreditPurse,
   decideRegion,
   type RegionDecision,
   type RegionOption,
@@ -24,7 +24,7 @@
   /** Credits that this instance has granted to instances of other regions. */
   readonly ledger: CreditLedger;
   /** Returns the credits for a service that other regions have granted to this instance. */
-  readonly readPurse: (service: string) => CreditPurse;
+  readonly readPurse: (service: string) => CreditBalance;
   /** Requests credits for a service from a region; returns at once. */
   readonly askCredits: (region: RegionId, service: string) => void;
   /** Returns the round-trip time to a region, in milliseconds. */
@@ -161,7 +161,7 @@
   if (parts.policies.ignoresCredits) {
     return await forwardToRandomInstance(parts, exchange, region);
   }
-  const instanceId = parts.readPurse(call.service).take(
+  const instanceId = parts.readPurse(call.service).spend(
     region,
     parts.clock.nowMs(),
   );
--- a/routing/credits.ts
+++ b/routing/credits.ts
@@ -111,7 +111,7 @@
 }
 
 /** Holds the credits that instances of other regions have granted to this instance. */
-export class CreditPurse {
+export class CreditBalance {
   #grants: ReceivedGrant[] = [];
 
   /** Records a grant; its lifetime is measured on the clock of this instance. */
@@ -143,7 +143,7 @@
   }
 
   /** Spends one credit and returns the instance that granted it, if there is a credit. */
-  take(region: RegionId, nowMs: number): InstanceId | undefined {
+  spend(region: RegionId, nowMs: number): InstanceId | undefined {
     if (this.count(region, nowMs) === 0) return undefined;
     const grant = this.#grants.find((candidate) =>
       candidate.region === region
--- a/routing/engine_model.ts
+++ b/routing/engine_model.ts
@@ -180,7 +180,7 @@
    * @param dispatcherCount Number of instances that dispatch to this engine.
    * @param nowMs Current time, in milliseconds.
    */
-  estimateInSystem(dispatcherCount: number, nowMs: number): number {
+  estimateSequenceCount(dispatcherCount: number, nowMs: number): number {
     const own = this.#inFlight.size;
     const isStale = nowMs - this.#reportMs > MAX_REPORT_AGE_MS;
     if (isStale) return own * Math.max(1, dispatcherCount);
@@ -208,7 +208,7 @@
       1,
       this.server.slots * computeSlowStartShare(this.health, nowMs),
     );
-    const inSystem = this.estimateInSystem(dispatcherCount, nowMs);
+    const inSystem = this.estimateSequenceCount(dispatcherCount, nowMs);
     const dispatched = this.#sumNewDispatches();
     const pendingTokens = Math.min(
       this.#report.queuedTokens +
@@ -242,7 +242,7 @@
    */
   estimateFreeSlots(dispatcherCount: number, nowMs: number): number {
     const slots = this.server.slots * computeSlowStartShare(this.health, nowMs);
-    return slots - this.estimateInSystem(dispatcherCount, nowMs);
+    return slots - this.estimateSequenceCount(dispatcherCount, nowMs);
   }
 
   #computeUncachedTokens(size: CallSize, nowMs: number): number {
--- a/routing/pick_engine.ts
+++ b/routing/pick_engine.ts
@@ -19,7 +19,7 @@
   readonly size: CallSize;
   readonly weights: PickWeights;
   /** Number of instances that dispatch to the same engines. */
-  readonly deciders: number;
+  readonly dispatcherCount: number;
   readonly nowMs: number;
   readonly random: Random;
   /** Ids of engines that were already tried for this call. Default: none. */
@@ -78,8 +78,12 @@
   engine: EngineModel,
   request: PickRequest,
 ): number {
-  const { size, weights, deciders, nowMs } = request;
-  const firstTokenMs = engine.estimateFirstTokenMs(size, deciders, nowMs);
+  const { size, weights, dispatcherCount, nowMs } = request;
+  const firstTokenMs = engine.estimateFirstTokenMs(
+    size,
+    dispatcherCount,
+    nowMs,
+  );
   const decodeMs = engine.decodeMs * size.outputTokens;
   const prefillMs = engine.estimatePrefillMs(size, nowMs) * PREFILL_WEIGHT;
   const expectedMs = firstTokenMs + prefillMs + decodeMs * DECODE_WEIGHT;
@@ -93,9 +97,9 @@
  * of the decode steps, which it shares with the concurrent sequences.
  */
 function estimateCost(engine: EngineModel, request: PickRequest): number {
-  const { deciders, nowMs, size } = request;
+  const { dispatcherCount, nowMs, size } = request;
   const { pricePerSecond } = engine.server;
-  const sequences = engine.estimateInSystem(deciders, nowMs) + 1;
+  const sequences = engine.estimateSequenceCount(dispatcherCount, nowMs) + 1;
   const decodeMs = engine.decodeMs * size.outputTokens / sequences;
   return pricePerSecond * (engine.estimatePrefillMs(size, nowMs) + decodeMs) /
     1_000;
--- a/routing/routing_test.ts
+++ b/routing/routing_test.ts
@@ -7,7 +7,7 @@
   toInstanceId,
   toRegionId,
 } from "../ids/mod.ts";
-import { CreditLedger, CreditPurse } from "./credits.ts";
+import { CreditBalance, CreditLedger } from "./credits.ts";
 import { decideRegion } from "./decide_region.ts";
 import {
   applyHealthEvent,
@@ -53,7 +53,7 @@
     engines,
     size: SIZE,
     weights,
-    deciders: 1,
+    dispatcherCount: 1,
     nowMs: 1_000,
     random: createRandom(1),
     excluded,
@@ -103,7 +103,7 @@
       { running: 8, queued: 9, queuedTokens: 0, lagMs: 500 },
       1_100,
     );
-    assert.equal(engine.estimateInSystem(1, 1_100), 1);
+    assert.equal(engine.estimateSequenceCount(1, 1_100), 1);
   });
 });
 
@@ -236,13 +236,13 @@
 
 describe("CreditPurse", () => {
   it("counts and spends a credit only until it expires", () => {
-    const purse = new CreditPurse();
+    const purse = new CreditBalance();
     const region = toRegionId("r");
     const from = { region, gateway: toInstanceId("g"), askedMs: 0 };
     purse.record({ service: "s", count: 1, lifetimeMs: 2_000 }, from);
     assert.equal(purse.count(region, 900), 1);
     assert.equal(purse.count(region, 1_100), 0);
-    assert.equal(purse.take(region, 1_100), undefined);
+    assert.equal(purse.spend(region, 1_100), undefined);
   });
 });
 
--- a/routing/service_pool.ts
+++ b/routing/service_pool.ts
@@ -15,7 +15,7 @@
   readonly clock: Clock;
   readonly random: Random;
   /** Returns the number of instances that dispatch to the same engines. */
-  readonly readDeciders: () => number;
+  readonly countDispatchers: () => number;
   /** Returns the weights of the service; called at each choice. */
   readonly readWeights: () => PickWeights;
   /** Decisions that an experiment replaces. Default: none. */
@@ -92,7 +92,7 @@
       engines: this.#engines,
       size,
       weights: this.#parts.readWeights(),
-      deciders: this.#parts.readDeciders(),
+      dispatcherCount: this.#parts.countDispatchers(),
       nowMs: this.#parts.clock.nowMs(),
       random: this.#parts.random,
       excluded,
@@ -111,7 +111,7 @@
     }
     const queueMs = this.queue.estimateWaitMs("interactive", nowMs);
     return queueMs +
-      engine.estimateFirstTokenMs(size, this.#parts.readDeciders(), nowMs);
+      engine.estimateFirstTokenMs(size, this.#parts.countDispatchers(), nowMs);
   }
 
   /**
@@ -126,9 +126,9 @@
   }
 
   /** Estimates the number of free sequences on all servers, minus the queued calls. */
-  estimateSpare(): number {
+  estimateFreeSlots(): number {
     const nowMs = this.#parts.clock.nowMs();
-    const dispatcherCount = this.#parts.readDeciders();
+    const dispatcherCount = this.#parts.countDispatchers();
     const freeSlots = this.#listUsable(nowMs)
       .map((engine) =>
         Math.max(0, engine.estimateFreeSlots(dispatcherCount, nowMs))
@@ -140,7 +140,7 @@
   /** Returns whether a call of a priority class may start now. */
   hasCapacity(priority: Priority): boolean {
     const nowMs = this.#parts.clock.nowMs();
-    const dispatcherCount = this.#parts.readDeciders();
+    const dispatcherCount = this.#parts.countDispatchers();
     const usable = this.#listUsable(nowMs);
     if (usable.length === 0 || this.#parts.policies?.admitsAll) return true;
     if (priority === "batch") return this.#hasBatchCapacity(usable, nowMs);
@@ -172,10 +172,11 @@
   }
 
   #hasBatchCapacity(usable: readonly EngineModel[], nowMs: number): boolean {
-    const dispatcherCount = Math.max(1, this.#parts.readDeciders());
+    const dispatcherCount = Math.max(1, this.#parts.countDispatchers());
     const slots = usable.reduce((sum, { server }) => sum + server.slots, 0);
     const busy = usable.reduce(
-      (sum, engine) => sum + engine.estimateInSystem(dispatcherCount, nowMs),
+      (sum, engine) =>
+        sum + engine.estimateSequenceCount(dispatcherCount, nowMs),
       0,
     );
     const ownBatch = usable.reduce(
