--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -33,7 +33,7 @@
   Origin,
   Reply,
 } from "../filters/mod.ts";
-import { holdUntilEnd, toRefusal } from "../filters/mod.ts";
+import { runAtReplyEnd, toRefusal } from "../filters/mod.ts";
 import { QuarantineGuard } from "../forwarding/mod.ts";
 import type { CallQuarantine, CrashReport } from "../quarantine/mod.ts";
 import type { PeerHandlers, PeerMethod, PeerMethods } from "../peers/mod.ts";
@@ -329,7 +329,7 @@
     const { clock, metrics } = this.parts;
     this.#inFlight++;
     metrics.gauge("request.in_flight", this.#inFlight);
-    const result = holdUntilEnd(await this.#runSafely(exchange, run), () => {
+    const result = runAtReplyEnd(await this.#runSafely(exchange, run), () => {
       this.#inFlight--;
       exchange.end();
       metrics.time("request.total_ms", clock.nowMs() - exchange.receivedMs);
--- a/daemon/routes.ts
+++ b/daemon/routes.ts
@@ -318,7 +318,8 @@
     readPurse: (service) => gateway.readPurse(service),
     recordUsage: (exchange, tokens) => gateway.recordUsage(exchange, tokens),
     askCredits: (region, service) => void requestCredits(region, service),
-    readLinkMs: (region) => roundTripMs.get(region) ?? DEFAULT_ROUND_TRIP_MS,
+    readRoundTripMs: (region) =>
+      roundTripMs.get(region) ?? DEFAULT_ROUND_TRIP_MS,
     recordRoute: (exchange, route) =>
       metrics.count("route.count", 1, {
         service: exchange.call?.service ?? "",
--- a/filters/apply_limits.ts
+++ b/filters/apply_limits.ts
@@ -39,7 +39,7 @@
       return err(createFailure("TEAM_LIMIT", message, retryHint));
     }
     addInFlight(id, 1);
-    return await holdUntilEnd(await next(), () => addInFlight(id, -1));
+    return await runAtReplyEnd(await next(), () => addInFlight(id, -1));
   };
 }
 
@@ -65,7 +65,7 @@
  * @param result What is sent back.
  * @param onEnd Called once.
  */
-export function holdUntilEnd(
+export function runAtReplyEnd(
   result: Result<Reply, Failure>,
   onEnd: () => void,
 ): Result<Reply, Failure> {
--- a/filters/route_call.ts
+++ b/filters/route_call.ts
@@ -28,7 +28,7 @@
   /** Requests credits for a service from a region; returns at once. */
   readonly askCredits: (region: RegionId, service: string) => void;
   /** Returns the round-trip time to a region, in milliseconds. */
-  readonly readLinkMs: (region: RegionId) => number;
+  readonly readRoundTripMs: (region: RegionId) => number;
   readonly recordRoute: (
     exchange: Exchange,
     route: "home" | "away" | "received",
@@ -146,7 +146,7 @@
           spare,
           firstTokenMs,
           ageMs,
-          linkMs: parts.readLinkMs(digest.region),
+          linkMs: parts.readRoundTripMs(digest.region),
           credits: purse.count(digest.region, nowMs),
         }))
     );
