--- a/adapters/call_listener.ts
+++ b/adapters/call_listener.ts
@@ -18,7 +18,7 @@
   toRefusalAnswer,
 } from "../forwarding/mod.ts";
 import { type CallerLimits, INITIAL_LIMITS } from "../http_routes/mod.ts";
-import { ACCEPT_BACKLOG, DisconnectDetector } from "./new_connections.ts";
+import { ACCEPT_BACKLOG, DisconnectDetector } from "./disconnect_detector.ts";
 
 /**
  * Maximum size of a header block that the parser accepts, in bytes. The configured
@@ -42,14 +42,14 @@
    * Returns the maximum time for which bytes that are read now can have waited
    * in the socket, in milliseconds.
    */
-  readonly readDelayMs: () => number;
+  readonly readLoopDelayMs: () => number;
   /** Returns who sent a call, or `undefined` to refuse it as malformed. */
   readonly readOrigin: (headers: RawHeaders) => CallOrigin | undefined;
   /**
    * Returns why a call is refused regardless of its body, or `undefined` if the body
    * must be read first. Default: every body is read.
    */
-  readonly refuseUnread?: (head: CallHead) => Refusal | undefined;
+  readonly findHeadRefusal?: (head: CallHead) => Refusal | undefined;
   /** Serves one call and writes its answer to the sink. */
   readonly handle: (call: OpaqueCall, sink: CallSink) => Promise<void>;
 }
@@ -82,7 +82,7 @@
       insecureHTTPParser: false,
     });
     this.#server.on("connection", (socket: Socket) => {
-      this.#sockets.set(socket, parts.readDelayMs());
+      this.#sockets.set(socket, parts.readLoopDelayMs());
       socket.on("close", () => this.#sockets.delete(socket));
     });
     this.#server.on("request", (message, response) => {
@@ -176,7 +176,7 @@
     // A short body is read even if the call is refused: its end marks where the next
     // call begins, so that the connection can be reused.
     if (origin.kind === "caller" && mayHaveLongBody(message)) {
-      const refusal = this.#parts.refuseUnread?.({
+      const refusal = this.#parts.findHeadRefusal?.({
         target: message.url,
         headers: message.rawHeaders,
         origin,
@@ -239,7 +239,7 @@
   #takeUnreadMs(socket: Socket): number {
     const acceptMs = this.#sockets.get(socket) ?? 0;
     if (acceptMs > 0) this.#sockets.set(socket, 0);
-    return acceptMs + this.#parts.readDelayMs();
+    return acceptMs + this.#parts.readLoopDelayMs();
   }
 }
 
--- a/adapters/plain_server.ts
+++ b/adapters/endpoint_server.ts
@@ -2,15 +2,15 @@
 import type { AddressInfo } from "node:net";
 import findMyWay, { type HTTPMethod } from "find-my-way";
 
-/** Answer of a {@linkcode PlainRoute}. */
-export interface PlainAnswer {
+/** Answer of a {@linkcode EndpointRoute}. */
+export interface EndpointAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Method, path and handler of a call that a {@linkcode PlainServer} answers. */
-export interface PlainRoute {
+/** Method, path and handler of a call that a {@linkcode EndpointServer} answers. */
+export interface EndpointRoute {
   readonly method: HTTPMethod;
   readonly path: string;
   /**
@@ -21,18 +21,18 @@
   handle(input: {
     readonly query: URLSearchParams;
     readonly body: string;
-  }): PlainAnswer | Promise<PlainAnswer>;
+  }): EndpointAnswer | Promise<EndpointAnswer>;
 }
 
-/** Address and routes of a {@linkcode PlainServer}. */
-export interface PlainServerParts {
+/** Address and routes of a {@linkcode EndpointServer}. */
+export interface EndpointServerParts {
   readonly host: string;
   readonly port: number;
-  readonly routes: readonly PlainRoute[];
+  readonly routes: readonly EndpointRoute[];
 }
 
 /** HTTP server that is running. */
-export interface PlainServer {
+export interface EndpointServer {
   readonly port: number;
   /** Closes the port and all connections. */
   close(): void;
@@ -52,9 +52,9 @@
  *
  * @param parts Address and routes.
  */
-export async function startPlainServer(
-  parts: PlainServerParts,
-): Promise<PlainServer> {
+export async function startEndpointServer(
+  parts: EndpointServerParts,
+): Promise<EndpointServer> {
   const router = findMyWay();
   parts.routes.forEach((route) => {
     router.on(route.method, route.path, async (request, response) => {
@@ -83,12 +83,15 @@
 }
 
 /** Returns a JSON answer. */
-export function toJsonAnswer(status: number, value: unknown): PlainAnswer {
+export function toJsonAnswer(status: number, value: unknown): EndpointAnswer {
   const contentType = "application/json";
   return { status, contentType, body: JSON.stringify(value) };
 }
 
-async function listen(server: Server, parts: PlainServerParts): Promise<void> {
+async function listen(
+  server: Server,
+  parts: EndpointServerParts,
+): Promise<void> {
   const { host, port } = parts;
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
--- a/adapters/http_listener.ts
+++ b/adapters/http_listener.ts
@@ -12,7 +12,7 @@
 import { once, setMaxListeners } from "node:events";
 import { err, ok, type Result } from "neverthrow";
 import { scheduleEvery } from "../clock/mod.ts";
-import { ACCEPT_BACKLOG, DisconnectDetector } from "./new_connections.ts";
+import { ACCEPT_BACKLOG, DisconnectDetector } from "./disconnect_detector.ts";
 import { systemClock } from "./system_clock.ts";
 import type { GatewayRequest, Reply } from "../filters/mod.ts";
 import {
@@ -33,7 +33,7 @@
 }
 
 /** Certificate, private key and certificate authorities of a listener, as PEM texts. */
-export interface TlsFiles {
+export interface TlsCertificates {
   readonly cert: string;
   readonly key: string;
   readonly ca?: string;
@@ -47,14 +47,14 @@
   /** Serves one request. */
   readonly handle: (request: GatewayRequest) => Promise<Reply>;
   /** Certificates for HTTPS. Default: the listener serves plain HTTP. */
-  readonly tls?: TlsFiles | undefined;
+  readonly tls?: TlsCertificates | undefined;
 }
 
 /** HTTP or HTTPS listener that accepts requests. */
 export interface Listener {
   readonly port: number;
   /** Sets the certificates for new connections; open connections are not affected. */
-  setTls(files: TlsFiles): void;
+  setTls(files: TlsCertificates): void;
   /**
    * Accepts no more connections, and resolves when all are closed. Connections that are
    * still active after 2 seconds are closed by force.
--- a/adapters/http_listener_test.ts
+++ b/adapters/http_listener_test.ts
@@ -9,10 +9,10 @@
 import {
   DEFAULT_LISTENER_LIMITS,
   startListener,
-  type TlsFiles,
+  type TlsCertificates,
 } from "./http_listener.ts";
 
-async function createCertificate(name: string): Promise<TlsFiles> {
+async function createCertificate(name: string): Promise<TlsCertificates> {
   const certificate = await generate([{ name: "commonName", value: name }], {
     keySize: 2048,
   });
--- a/adapters/socket_peer_transport.ts
+++ b/adapters/socket_peer_transport.ts
@@ -39,7 +39,7 @@
 /** Sends heartbeats to other instances over UDP, and calls as JSON-RPC 2.0 over HTTP. */
 export class SocketPeerTransport implements PeerTransport {
   /** Bytes of heartbeats that were sent and received, including IP and UDP headers. */
-  readonly bytes = { sent: 0, received: 0 };
+  readonly heartbeatBytes = { sent: 0, received: 0 };
   readonly #parts: SocketPeerParts;
   readonly #socket: Socket;
   readonly #agent: Agent;
@@ -65,7 +65,7 @@
    */
   async open(receive: (heartbeat: Heartbeat) => void): Promise<void> {
     this.#socket.on("message", (datagram) => {
-      this.bytes.received += datagram.length + UDP_HEADER_BYTES;
+      this.heartbeatBytes.received += datagram.length + UDP_HEADER_BYTES;
       this.#parts.metrics.count(
         "membership.received_bytes",
         datagram.length + UDP_HEADER_BYTES,
@@ -82,7 +82,7 @@
     const datagram = encodeHeartbeat(heartbeat, this.#parts.token);
     const at = to.peerAddress.lastIndexOf(":");
     const host = to.peerAddress.slice(0, at).replace(/^\[|\]$/g, "");
-    this.bytes.sent += datagram.length + UDP_HEADER_BYTES;
+    this.heartbeatBytes.sent += datagram.length + UDP_HEADER_BYTES;
     this.#parts.metrics.count(
       "membership.sent_bytes",
       datagram.length + UDP_HEADER_BYTES,
--- a/adapters/state_transfer.ts
+++ b/adapters/state_transfer.ts
@@ -3,7 +3,7 @@
 import { request } from "undici";
 import type { StateCopy } from "../state/mod.ts";
 import type { StorePosition } from "../store/mod.ts";
-import type { PlainRoute } from "./plain_server.ts";
+import type { EndpointRoute } from "./endpoint_server.ts";
 
 /** Path of JSON-RPC calls between instances, on the control address. */
 const RPC_PATH = "/rpc";
@@ -34,7 +34,7 @@
  */
 export function createStateRoute(
   createCopy: (after: StorePosition) => StateCopy,
-): PlainRoute {
+): EndpointRoute {
   const server = new JSONRPCServer();
   server.addMethod(
     READ_STATE_METHOD,
--- a/bin/start_daemon.ts
+++ b/bin/start_daemon.ts
@@ -4,7 +4,7 @@
 import {
   type Listener,
   startListener,
-  type TlsFiles,
+  type TlsCertificates,
 } from "../adapters/http_listener.ts";
 import {
   createHttpDirectory,
@@ -136,7 +136,7 @@
     gateway,
     record,
     http: httpGateway,
-    peerBytes: transport.bytes,
+    peerBytes: transport.heartbeatBytes,
     reloadTls: () => reloadTls(settings, listener, logger),
     shutDown: async () => {
       const drainTimeout = new AbortController();
@@ -251,7 +251,7 @@
   });
 }
 
-function readTls(files: NonNullable<Settings["tls"]>): TlsFiles {
+function readTls(files: NonNullable<Settings["tls"]>): TlsCertificates {
   return {
     cert: readFileSync(files.certificate, "utf8"),
     key: readFileSync(files.key, "utf8"),
--- a/bin/start_http_gateway.ts
+++ b/bin/start_http_gateway.ts
@@ -63,9 +63,9 @@
       host,
       port,
       nowMs,
-      readDelayMs: () => gateway.loopDelay.readMs(),
+      readLoopDelayMs: () => gateway.loopDelay.readMs(),
       readOrigin,
-      refuseUnread: (head) => gateway.forwarder.findHeadRefusal(head),
+      findHeadRefusal: (head) => gateway.forwarder.findHeadRefusal(head),
       handle: (call, sink) => gateway.handle(call, sink),
     });
   const peerListener = createListener(
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -94,13 +94,13 @@
       host,
       port: 0,
       nowMs: () => systemClock.nowMs(),
-      readDelayMs: () => gateway.loopDelay.readMs(),
+      readLoopDelayMs: () => gateway.loopDelay.readMs(),
       readOrigin: (headers) => {
         if (!isPeer) return { kind: "caller" };
         const hop = readHop(headers);
         return hop && { kind: "instance", hop };
       },
-      refuseUnread: (head) => gateway.forwarder.findHeadRefusal(head),
+      findHeadRefusal: (head) => gateway.forwarder.findHeadRefusal(head),
       handle: (call, sink) => gateway.handle(call, sink),
     });
   const callers = createListener(false);
