--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -1,4 +1,4 @@
-import { type Random, SlidingCount } from "../clock/mod.ts";
+import { type Random, SlidingWindowCounter } from "../clock/mod.ts";
 import type { RegionId, TeamId } from "../ids/mod.ts";
 import type { Team, TeamLimit } from "../teams/mod.ts";
 
@@ -106,7 +106,7 @@
 const MAX_ADDED_RETRY_MS = 1_000;
 
 interface Bucket {
-  readonly used: SlidingCount;
+  readonly used: SlidingWindowCounter;
   demand: number;
   /** Time up to which the decay of the demand is applied, in milliseconds. */
   decayedMs: number;
@@ -242,7 +242,7 @@
       return known;
     }
     const bucket: Bucket = {
-      used: new SlidingCount(
+      used: new SlidingWindowCounter(
         SLIDING_COUNT_WINDOWS * this.#parts.bounds.windowMs,
       ),
       demand: this.#computePriorDemand(limit, nowMs),
--- a/clock/loop_delay.ts
+++ b/clock/event_loop_delay.ts
@@ -22,7 +22,7 @@
  * waited unread. An overloaded process reads late, and can detect this only by the
  * delay of its own timers.
  */
-export class LoopDelay {
+export class EventLoopDelay {
   readonly #clock: Clock;
   #checkedMs: number | undefined;
   #intervalMs = CHECK_INTERVAL_MS;
--- a/clock/loop_delay_test.ts
+++ b/clock/event_loop_delay_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SlowLoop } from "../tests/slow_loop.ts";
-import { LoopDelay } from "./loop_delay.ts";
+import { EventLoopDelay } from "./event_loop_delay.ts";
 
 function start() {
   const loop = new SlowLoop();
-  const delay = new LoopDelay(loop);
+  const delay = new EventLoopDelay(loop);
   delay.start(new AbortController().signal);
   return { loop, delay };
 }
@@ -52,7 +52,7 @@
 
   describe("before it was started", () => {
     it("is 0", () => {
-      assert.equal(new LoopDelay(new SlowLoop()).readMs(), 0);
+      assert.equal(new EventLoopDelay(new SlowLoop()).readMs(), 0);
     });
   });
 });
--- a/clock/mod.ts
+++ b/clock/mod.ts
@@ -12,7 +12,7 @@
  * @module
  */
 export * from "./clock.ts";
-export * from "./loop_delay.ts";
+export * from "./event_loop_delay.ts";
 export * from "./random.ts";
-export * from "./sliding_count.ts";
+export * from "./sliding_window_counter.ts";
 export * from "./virtual_clock.ts";
--- a/clock/sliding_count.ts
+++ b/clock/sliding_window_counter.ts
@@ -2,7 +2,7 @@
 const BUCKET_COUNT = 20;
 
 /** Counts events in a window of time that ends now. */
-export class SlidingCount {
+export class SlidingWindowCounter {
   readonly #bucketMs: number;
   readonly #counts = new Array<number>(BUCKET_COUNT).fill(0);
   #bucket = 0;
--- a/configuration/configuration_controller.ts
+++ b/configuration/configuration_controller.ts
@@ -12,7 +12,10 @@
   writeEntry,
   writeSnapshot,
 } from "./configuration_log.ts";
-import type { CatchUp, ConfigurationState } from "./configuration_state.ts";
+import type {
+  CatchUpAnswer,
+  ConfigurationState,
+} from "./configuration_state.ts";
 
 /** What a {@linkcode ConfigurationController} needs. */
 export interface ConfigurationControllerParts {
@@ -26,9 +29,9 @@
   /** Sends entries to the peers of the region. */
   readonly push: (entries: readonly ConfigurationEntry[]) => void;
   /** Requests what comes after a sequence number from a peer, the most advanced one first. */
-  readonly pull: (after: number) => Promise<CatchUp | undefined>;
+  readonly pull: (after: number) => Promise<CatchUpAnswer | undefined>;
   /** Returns the highest sequence number that any peer has reported. */
-  readonly readNewestHeard: () => number;
+  readonly readNewestSequence: () => number;
   /** Reports a message to the operator. */
   readonly report: (message: string) => void;
 }
@@ -100,10 +103,10 @@
    *
    * @returns Whether no peer has reported anything newer.
    */
-  async reachNewest(): Promise<boolean> {
-    const { readNewestHeard, state } = this.#parts;
-    if (readNewestHeard() > state.sequence) await this.#pullFromPeers();
-    return readNewestHeard() <= state.sequence;
+  async catchUpWithPeers(): Promise<boolean> {
+    const { readNewestSequence, state } = this.#parts;
+    if (readNewestSequence() > state.sequence) await this.#pullFromPeers();
+    return readNewestSequence() <= state.sequence;
   }
 
   async #load(): Promise<void> {
@@ -154,8 +157,8 @@
   }
 
   async #check(): Promise<void> {
-    const { state, readNewestHeard, isWatcher } = this.#parts;
-    if (!state.isLoaded || readNewestHeard() > state.sequence) {
+    const { state, readNewestSequence, isWatcher } = this.#parts;
+    if (!state.isLoaded || readNewestSequence() > state.sequence) {
       await this.#pullFromPeers();
     }
     if (!state.isLoaded) await this.#load();
--- a/configuration/configuration_state.ts
+++ b/configuration/configuration_state.ts
@@ -15,7 +15,7 @@
 }
 
 /** What a peer answers to an instance that is behind. */
-export type CatchUp =
+export type CatchUpAnswer =
   | {
     readonly kind: "entries";
     readonly entries: readonly ConfigurationEntry[];
@@ -148,7 +148,7 @@
    *
    * @param after Sequence number in force at the peer.
    */
-  readAfter(after: number): CatchUp {
+  readAfter(after: number): CatchUpAnswer {
     const entries = this.#recent.filter(({ sequence }) => sequence > after);
     const first = entries[0]?.sequence ?? this.sequence + 1;
     if (after >= this.sequence || first === after + 1) {
--- a/controllers/charge_usage.ts
+++ b/controllers/charge_usage.ts
@@ -52,7 +52,7 @@
     await foldUsage({
       store: gateway.store,
       createChangeId,
-      isGone: (incarnation) => isDead(gateway, incarnation),
+      isDead: (incarnation) => isDead(gateway, incarnation),
       nowMs: clock.nowMs(),
     });
   };
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -128,7 +128,7 @@
       isRelay: () => this.membership.isFirstObserver,
       push: (entries) => pushToRegion(this, entries),
       pull: (after) => pullFromPeers(this, after),
-      readNewestHeard: () => this.membership.newestConfiguration,
+      readNewestSequence: () => this.membership.newestConfiguration,
       report: (message) => parts.logger.warn(message),
     });
     this.quarantine = new QuarantineGuard({ logger: parts.logger }).quarantine;
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -1,6 +1,6 @@
 import {
   type Clock,
-  LoopDelay,
+  EventLoopDelay,
   type Random,
   scheduleEvery,
 } from "../clock/mod.ts";
@@ -121,7 +121,7 @@
 /** Instance that forwards plain HTTP calls, without its sockets. */
 export class HttpGateway {
   /** Delay of the event loop, measured from `start` on. */
-  readonly loopDelay: LoopDelay;
+  readonly loopDelay: EventLoopDelay;
   /** View of the instances. */
   readonly fleet: FleetView;
   /** Forwards calls to servers and to other instances. */
@@ -143,7 +143,7 @@
   constructor(parts: HttpGatewayParts) {
     const { clock, logger, random } = parts;
     this.#parts = parts;
-    this.loopDelay = new LoopDelay(clock);
+    this.loopDelay = new EventLoopDelay(clock);
     this.#eventLoopGate = new EventLoopGate(clock);
     this.#answerRecorder = new AnswerRecorder(parts);
     const loads = new LoadTracker();
--- a/daemon/spread_configuration.ts
+++ b/daemon/spread_configuration.ts
@@ -1,4 +1,4 @@
-import type { CatchUp } from "../configuration/mod.ts";
+import type { CatchUpAnswer } from "../configuration/mod.ts";
 import type { InstanceRecord } from "../membership/mod.ts";
 import type { ConfigurationEntry } from "../resources/mod.ts";
 import type { Gateway } from "./gateway.ts";
@@ -30,7 +30,7 @@
 export async function pullFromPeers(
   gateway: Gateway,
   after: number,
-): Promise<CatchUp | undefined> {
+): Promise<CatchUpAnswer | undefined> {
   const { membership, parts } = gateway;
   const localPeers = membership.members
     .filter(({ status }) => status !== "dead" && status !== "leaving")
--- a/filters/resource_api.ts
+++ b/filters/resource_api.ts
@@ -178,7 +178,7 @@
   changes: readonly RequestedChange[],
 ): Promise<Result<Reply, Failure>> {
   const query = new URLSearchParams(exchange.request.query);
-  if (!await gateway.controller.reachNewest()) {
+  if (!await gateway.controller.catchUpWithPeers()) {
     const message =
       "This instance is behind: it has not yet heard the newest change";
     return err(createFailure("NOT_READY", message, { retryAfterMs: 500 }));
--- a/forwarding/fleet_retry_budget.ts
+++ b/forwarding/fleet_retry_budget.ts
@@ -1,4 +1,4 @@
-import { SlidingCount } from "../clock/mod.ts";
+import { SlidingWindowCounter } from "../clock/mod.ts";
 
 /** Bound on the retries of all instances together: the sends beyond the first one of each call. */
 export interface RetryBounds {
@@ -22,14 +22,14 @@
  */
 export class FleetRetryBudget {
   readonly #bounds: RetryBounds;
-  readonly #calls: SlidingCount;
-  readonly #retries: SlidingCount;
+  readonly #calls: SlidingWindowCounter;
+  readonly #retries: SlidingWindowCounter;
 
   /** @param bounds Bound on the retries of all instances together. */
   constructor(bounds: RetryBounds) {
     this.#bounds = bounds;
-    this.#calls = new SlidingCount(bounds.windowMs);
-    this.#retries = new SlidingCount(bounds.windowMs);
+    this.#calls = new SlidingWindowCounter(bounds.windowMs);
+    this.#retries = new SlidingWindowCounter(bounds.windowMs);
   }
 
   /** Records a caller's call. */
--- a/http_routes/route_call_counter.ts
+++ b/http_routes/route_call_counter.ts
@@ -1,4 +1,4 @@
-import { SlidingCount } from "../clock/mod.ts";
+import { SlidingWindowCounter } from "../clock/mod.ts";
 import type { HttpRoute } from "./http_route.ts";
 
 /**
@@ -10,13 +10,14 @@
 
 /** Counts the recent calls that callers sent to this instance for routes with home regions. */
 export class RouteCallCounter {
-  readonly #counts = new Map<string, SlidingCount>();
+  readonly #counts = new Map<string, SlidingWindowCounter>();
 
   /** Counts a call. A call of a route without home regions is ignored. */
   record(route: HttpRoute, nowMs: number): void {
     if (route.homeRegions === undefined) return;
     const key = toKey(route);
-    const count = this.#counts.get(key) ?? new SlidingCount(COUNT_WINDOW_MS);
+    const count = this.#counts.get(key) ??
+      new SlidingWindowCounter(COUNT_WINDOW_MS);
     this.#counts.set(key, count);
     count.add(nowMs);
   }
--- a/ids/mod.ts
+++ b/ids/mod.ts
@@ -72,7 +72,7 @@
  * @param startedMs Start time, in milliseconds since the epoch. Default: none; the
  * name stands for all starts of the server.
  */
-export function toStartedId(name: string, startedMs?: number): BackendId {
+export function toServerStartId(name: string, startedMs?: number): BackendId {
   if (startedMs === undefined) return toBackendId(name);
   // Short, since reports between instances contain server ids many times a second.
   return toBackendId(`${name}@${startedMs.toString(START_RADIX)}`);
--- a/peers/peer_transport.ts
+++ b/peers/peer_transport.ts
@@ -1,6 +1,6 @@
 import type { Result } from "neverthrow";
 import type { BorrowRequest, RateLoan } from "../admission/mod.ts";
-import type { CatchUp } from "../configuration/mod.ts";
+import type { CatchUpAnswer } from "../configuration/mod.ts";
 import type { AttemptId, InstanceId, RunKey } from "../ids/mod.ts";
 import type { BeginOutcome, Run, RunEnd } from "../run_journal/mod.ts";
 import type { Heartbeat, InstanceRecord } from "../membership/mod.ts";
@@ -21,7 +21,7 @@
   };
   "configuration.pull": {
     readonly params: { readonly after: number };
-    readonly result: CatchUp;
+    readonly result: CatchUpAnswer;
   };
   "journal.begin": {
     readonly params: { readonly run: Run };
--- a/spec/server_spec.ts
+++ b/spec/server_spec.ts
@@ -1,4 +1,4 @@
-import { toFailureDomainId, toRegionId, toStartedId } from "../ids/mod.ts";
+import { toFailureDomainId, toRegionId, toServerStartId } from "../ids/mod.ts";
 import type { RegisteredServer } from "../servers/mod.ts";
 import { evaluateServerEntry, withdrawServer } from "../state/mod.ts";
 import {
@@ -206,7 +206,7 @@
   { isDraining, start }: Extract<SpecEntry, { readonly kind: "own" }>,
 ): RegisteredServer {
   return {
-    id: toStartedId(NAME, start),
+    id: toServerStartId(NAME, start),
     name: NAME,
     startedMs: start,
     service: "app",
--- a/tests/state_test.ts
+++ b/tests/state_test.ts
@@ -320,7 +320,7 @@
                 await foldUsage({
                   store,
                   createChangeId,
-                  isGone: () => true,
+                  isDead: () => true,
                   nowMs: clock.nowMs() + 120_000,
                 });
                 break;
--- a/usage/fold_usage.ts
+++ b/usage/fold_usage.ts
@@ -21,7 +21,7 @@
   readonly store: Store;
   readonly createChangeId: () => ChangeId;
   /** Returns whether an incarnation is dead, as far as is known; it need not be certain. */
-  readonly isGone: (incarnation: string) => boolean;
+  readonly isDead: (incarnation: string) => boolean;
   readonly nowMs: number;
 }
 
@@ -52,7 +52,7 @@
     revision,
   }));
   const due = entries.filter(({ key, document }) =>
-    document.isSealed || (parts.isGone(toIncarnationPart(key)) &&
+    document.isSealed || (parts.isDead(toIncarnationPart(key)) &&
       nowMs - document.flushedMs > MIN_IDLE_MS)
   );
   let folded = 0;
