--- a/batches/batch_store.ts
+++ b/batches/batch_store.ts
@@ -210,12 +210,12 @@
       { key, expectedRevision: 0, value: String(endedMs) },
       STORE_OPTIONS,
     );
-    if (endedPointer.isOk()) await this.dropPointer(id);
+    if (endedPointer.isOk()) await this.removeOpenPointer(id);
     return ok(ended.value.document);
   }
 
   /** Removes the pointer to an open batch. */
-  async dropPointer(id: string): Promise<void> {
+  async removeOpenPointer(id: string): Promise<void> {
     const read = await this.#store.read(OPEN_PREFIX + id, STORE_OPTIONS);
     if (read.isErr() || read.value === undefined) return;
     const expectedRevision = read.value.revision;
--- a/batches/run_pack.ts
+++ b/batches/run_pack.ts
@@ -24,7 +24,7 @@
   /** Saves answers. Returns `false` if the pack is no longer this worker's; the worker then stops. */
   readonly save: (answers: AnswerMap) => Promise<boolean>;
   /** Returns whether more items may be started; `false` during the graceful shutdown of the instance. */
-  readonly mayStart: () => boolean;
+  readonly canStart: () => boolean;
   readonly signal: AbortSignal;
 }
 
@@ -73,7 +73,7 @@
     if (canContinue) batch.forEach(([position]) => unsaved.delete(position));
   };
   const runNext = async (): Promise<void> => {
-    while (canContinue && !parts.signal.aborted && parts.mayStart()) {
+    while (canContinue && !parts.signal.aborted && parts.canStart()) {
       const position = remaining.shift();
       if (position === undefined) return;
       const answer = await runItemUntilFinal(
--- a/bench/journal_bench.ts
+++ b/bench/journal_bench.ts
@@ -205,20 +205,26 @@
     clock,
     random,
     self,
-    readLive: (region) =>
+    listCandidates: (region) =>
       ids.filter((_, index) =>
         region === undefined || `r${index % variant.regions}` === region
       ),
     isGone,
     beginAt: async (to, run) => {
       await waitFor(clock, readLatencyMs(to));
-      const result = await (journals.get(to) as ShardedJournal).beginHere(run);
+      const result = await (journals.get(to) as ShardedJournal).beginLocally(
+        run,
+      );
       await waitFor(clock, readLatencyMs(to));
       return result;
     },
     finishAt: async (to, { key, attempt, end }) => {
       await waitFor(clock, readLatencyMs(to));
-      void (journals.get(to) as ShardedJournal).finishHere(key, attempt, end);
+      void (journals.get(to) as ShardedJournal).finishLocally(
+        key,
+        attempt,
+        end,
+      );
       return true;
     },
   }, { shards: variant.shards, gatherMs: variant.gatherMs });
--- a/controllers/work_batches.ts
+++ b/controllers/work_batches.ts
@@ -141,7 +141,7 @@
       if (head.isErr()) return;
       if (head.value === undefined || head.value.state !== "open") {
         const hasHead = head.value !== undefined;
-        if (hasHead) await store.dropPointer(id);
+        if (hasHead) await store.removeOpenPointer(id);
         continue;
       }
       if (!isAllowedHere(gateway, head.value)) continue;
@@ -194,7 +194,7 @@
   await runPack({
     clock,
     signal,
-    mayStart: () => !gateway.membership.isLeaving,
+    canStart: () => !gateway.membership.isLeaving,
     runItem: (item, position) =>
       runItem(gateway, head, { item, position, signal }),
     save: async (added) => {
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -450,7 +450,7 @@
       clock,
       random,
       self: self.id,
-      readLive: (region) =>
+      listCandidates: (region) =>
         [self, ...this.membership.listedInstances]
           .filter((record) => region === undefined || record.region === region)
           .map(({ id }) => id),
--- a/daemon/peer_handlers.ts
+++ b/daemon/peer_handlers.ts
@@ -15,13 +15,13 @@
     },
     "configuration.pull": ({ after }) => gateway.configuration.readAfter(after),
     "journal.begin": async ({ run }) => {
-      const begun = await gateway.journal.beginHere(run);
+      const begun = await gateway.journal.beginLocally(run);
       return begun.isOk()
         ? { kind: "ok", value: begun.value }
         : { kind: "failed", failure: begun.error };
     },
     "journal.finish": ({ key, attempt, end }) => {
-      void gateway.journal.finishHere(key, attempt, end);
+      void gateway.journal.finishLocally(key, attempt, end);
       return { kind: "ok" };
     },
     "limits.borrow": ({ wish }) => {
--- a/run_journal/sharded_journal.ts
+++ b/run_journal/sharded_journal.ts
@@ -22,7 +22,7 @@
    * Lists the instances that may coordinate shards, including this one. If a
    * region is given, only those of the region.
    */
-  readonly readLive: (region?: string) => readonly InstanceId[];
+  readonly listCandidates: (region?: string) => readonly InstanceId[];
   /** Returns whether a holder is known to be dead. */
   readonly isGone: (holder: Incarnation) => boolean;
   /** Asks the coordinator of a shard to begin a run. */
@@ -85,9 +85,9 @@
 
   async begin(run: Run): Promise<Result<BeginOutcome, Failure>> {
     const coordinator = this.#pickCoordinator(run.key);
-    if (coordinator === this.#parts.self) return await this.beginHere(run);
+    if (coordinator === this.#parts.self) return await this.beginLocally(run);
     const remote = await this.#parts.beginAt(coordinator, run);
-    return remote ?? await this.beginHere(run);
+    return remote ?? await this.beginLocally(run);
   }
 
   async finish(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
@@ -101,22 +101,24 @@
   }
 
   /** Begins a run at this instance, as the coordinator of its shard or in the coordinator's place. */
-  beginHere(run: Run): Promise<Result<BeginOutcome, Failure>> {
+  beginLocally(run: Run): Promise<Result<BeginOutcome, Failure>> {
     return this.#ensureWriter(run.key).begin(run);
   }
 
   /** Records an end at this instance, as the coordinator of its shard or in the coordinator's place. */
-  finishHere(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
+  finishLocally(key: RunKey, attempt: AttemptId, end: RunEnd): Promise<void> {
     return this.#ensureWriter(key).finish(key, attempt, end);
   }
 
   /** If a key names a home region that has live instances, one of them coordinates its shard. */
   #pickCoordinator(key: RunKey): InstanceId {
     const home = readHomeRegion(key);
-    const homeInstances = home === undefined ? [] : this.#parts.readLive(home);
+    const homeInstances = home === undefined
+      ? []
+      : this.#parts.listCandidates(home);
     const candidates = homeInstances.length > 0
       ? homeInstances
-      : this.#parts.readLive();
+      : this.#parts.listCandidates();
     return rankNames(`journal ${this.#toShardName(key)}`, candidates)[0] ??
       this.#parts.self;
   }
