--- a/adapters/http_listener_test.ts
+++ b/adapters/http_listener_test.ts
@@ -5,7 +5,7 @@
 import { ok } from "neverthrow";
 import { generate } from "selfsigned";
 import type { GatewayRequest, Reply } from "../filters/mod.ts";
-import { leaveUnaccepted } from "../tests/busy_loop.ts";
+import { disconnectBeforeAccept } from "../tests/block_event_loop.ts";
 import {
   DEFAULT_LISTENER_LIMITS,
   startListener,
@@ -63,7 +63,7 @@
         },
       });
       const request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
-      await leaveUnaccepted(listener.port, "127.0.0.1", request);
+      await disconnectBeforeAccept(listener.port, "127.0.0.1", request);
       await new Promise((resolve) => setTimeout(resolve, 100));
       await listener.close();
       assert.equal(calls, 0);
--- a/clock/event_loop_delay_test.ts
+++ b/clock/event_loop_delay_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { SlowLoop } from "../tests/slow_loop.ts";
+import { VirtualEventLoop } from "../tests/virtual_event_loop.ts";
 import { EventLoopDelay } from "./event_loop_delay.ts";
 
 function start() {
-  const loop = new SlowLoop();
+  const loop = new VirtualEventLoop();
   const delay = new EventLoopDelay(loop);
   delay.start(new AbortController().signal);
   return { loop, delay };
@@ -14,9 +14,9 @@
   describe("when the event loop keeps up", () => {
     it("is 0, also between two checks", () => {
       const { loop, delay } = start();
-      loop.work(52);
-      loop.turn();
-      loop.work(49);
+      loop.block(52);
+      loop.runDueTimers();
+      loop.block(49);
       assert.equal(delay.readMs(), 0);
     });
   });
@@ -24,26 +24,26 @@
   describe("when an iteration takes long", () => {
     it("reports how long bytes read in it and in the next one may have waited", () => {
       const { loop, delay } = start();
-      loop.work(700);
+      loop.block(700);
       assert.equal(delay.readMs(), 650);
-      loop.turn();
+      loop.runDueTimers();
       assert.equal(delay.readMs(), 650);
     });
 
     it("is 0 again after a quick iteration", () => {
       const { loop, delay } = start();
-      loop.work(700);
-      loop.turn();
-      loop.work(2);
-      loop.turn();
+      loop.block(700);
+      loop.runDueTimers();
+      loop.block(2);
+      loop.runDueTimers();
       assert.equal(delay.readMs(), 0);
     });
 
     it("checks in each iteration while the event loop is behind", () => {
       const { loop, delay } = start();
       const read = [300, 200, 100, 2].map((iterationMs) => {
-        loop.work(iterationMs);
-        loop.turn();
+        loop.block(iterationMs);
+        loop.runDueTimers();
         return delay.readMs();
       });
       assert.deepEqual(read, [250, 199, 99, 0]);
@@ -52,7 +52,7 @@
 
   describe("before it was started", () => {
     it("is 0", () => {
-      assert.equal(new EventLoopDelay(new SlowLoop()).readMs(), 0);
+      assert.equal(new EventLoopDelay(new VirtualEventLoop()).readMs(), 0);
     });
   });
 });
--- a/daemon/overload_test.ts
+++ b/daemon/overload_test.ts
@@ -9,9 +9,9 @@
   ANSWERING_CLIENT,
   createHeadSink,
   createOpaqueCall,
-  ONE_ROUTE,
+  SINGLE_ROUTE_TABLE,
 } from "../tests/opaque_call_fixture.ts";
-import { SlowLoop } from "../tests/slow_loop.ts";
+import { VirtualEventLoop } from "../tests/virtual_event_loop.ts";
 import { createVirtualGateway } from "../tests/virtual_gateway.ts";
 import { createServerEntry } from "../tests/member_fixture.ts";
 
@@ -32,7 +32,7 @@
 /** Time for which callers wait until their connection is accepted and read, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-function createLoadedGateway(loop: SlowLoop): HttpGateway {
+function createLoadedGateway(loop: VirtualEventLoop): HttpGateway {
   const gateway = createVirtualGateway("north-1", {
     clock: loop,
     random: createRandom(3),
@@ -40,7 +40,7 @@
   });
   const server = createServerEntry("s1", { slots: 1_000 });
   gateway.registry.put(server, loop.nowMs());
-  gateway.forwarder.setTable(ONE_ROUTE);
+  gateway.forwarder.setTable(SINGLE_ROUTE_TABLE);
   gateway.start(new AbortController().signal);
   return gateway;
 }
@@ -65,7 +65,7 @@
  * seconds, refused no call itself, and forwarded calls over a second after they were sent.
  */
 class LoadedInstance {
-  readonly loop = new SlowLoop();
+  readonly loop = new VirtualEventLoop();
   readonly #gateway = createLoadedGateway(this.loop);
   readonly #open: SimulatedCall[] = [];
   readonly #unaccepted: SimulatedCall[] = [];
@@ -92,7 +92,7 @@
     const sink = createHeadSink((head) => {
       arrived.answeredMs = loop.nowMs() - arrived.arrivedMs;
       arrived.head = head;
-      loop.work(head.status === 200 ? FORWARD_MS : REFUSE_MS);
+      loop.block(head.status === 200 ? FORWARD_MS : REFUSE_MS);
     });
     void this.#gateway.handle(call, sink);
   }
@@ -106,8 +106,8 @@
   const { loop } = instance;
   const calls: SimulatedCall[] = [];
   for (let count = 0; loop.nowMs() < SIMULATED_MS;) {
-    loop.work(ITERATION_MS);
-    loop.turn();
+    loop.block(ITERATION_MS);
+    loop.runDueTimers();
     await setImmediate();
     for (; count * 1_000 / callsPerSecond <= loop.nowMs(); count++) {
       const call = {
--- a/daemon/peer_catch_up_test.ts
+++ b/daemon/peer_catch_up_test.ts
@@ -4,7 +4,7 @@
 import { VirtualClock, waitFor } from "../clock/mod.ts";
 import { createSilentLogger } from "../logs/mod.ts";
 import {
-  createFleet,
+  createFleetView,
   createMember as createNamedMember,
 } from "../tests/member_fixture.ts";
 import { createReport } from "../tests/report_fixture.ts";
@@ -26,7 +26,7 @@
 /** Starts an instance that is not a relay: the first two instances of its region are others. */
 function start(readPeerState: ReadPeerState) {
   const clock = new VirtualClock();
-  const fleet = createFleet(createMember("north-9"));
+  const fleet = createFleetView(createMember("north-9"));
   let known = LOADED_STATE.known;
   const asked: string[] = [];
   const catchUp = new PeerCatchUp({
--- a/directory/pick_entries_property_test.ts
+++ b/directory/pick_entries_property_test.ts
@@ -4,7 +4,7 @@
 import type { MemberState } from "../fleet/mod.ts";
 import { findHostHomes, type HttpRoute } from "../http_routes/mod.ts";
 import { toRegionId } from "../ids/mod.ts";
-import { createFleet, createMember } from "../tests/member_fixture.ts";
+import { createFleetView, createMember } from "../tests/member_fixture.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import { createRoute } from "../tests/route_fixture.ts";
 import { type EntryAnswer, pickEntries } from "./pick_entries.ts";
@@ -53,7 +53,7 @@
 function answer({ caller, members, routes }: Situation): EntryAnswer {
   const [own, ...others] = members;
   const [ownRegion, ownState] = own!;
-  const fleet = createFleet(createMember("self", ownRegion));
+  const fleet = createFleetView(createMember("self", ownRegion));
   fleet.setState(ownState, 0);
   others.forEach(([region, state], at) => {
     const member = { ...createMember(`member-${at}`, region), state };
--- a/directory/pick_entries_test.ts
+++ b/directory/pick_entries_test.ts
@@ -5,7 +5,7 @@
 import { toRegionId } from "../ids/mod.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import { pickEntries } from "./pick_entries.ts";
-import { createFleet, createMember } from "../tests/member_fixture.ts";
+import { createFleetView, createMember } from "../tests/member_fixture.ts";
 
 const [NORTH, SOUTH, WEST] = ["north", "south", "west"].map(toRegionId) as [
   ReturnType<typeof toRegionId>,
@@ -19,7 +19,7 @@
 /** Creates one instance in each of three regions; that of the west region answers. */
 function startAnswering(states: Partial<Record<string, MemberState>>) {
   const createOne = (region: string) => createMember(`${region}-1`, region);
-  const fleet = createFleet(createOne("west"));
+  const fleet = createFleetView(createOne("west"));
   fleet.setState(states.west ?? "ready");
   // Reports arrive at 0, and again once instances in graceful shutdown accept no more calls.
   [0, DRAINED_MS].forEach((atMs, sequence) =>
--- a/fleet/fleet_view_property_test.ts
+++ b/fleet/fleet_view_property_test.ts
@@ -9,7 +9,7 @@
   REMOTE_MEMBER_TIMEOUT_MS,
 } from "./fleet_view.ts";
 import { LoadTracker } from "./load_tracker.ts";
-import { createFleet, createMember } from "../tests/member_fixture.ts";
+import { createFleetView, createMember } from "../tests/member_fixture.ts";
 
 const NORTH = toRegionId("north");
 const SOUTH = toRegionId("south");
@@ -51,7 +51,7 @@
 /** A view, and a model of what the same events tell of each member. */
 class Run {
   readonly loads = new LoadTracker();
-  readonly view = createFleet(createMember("self"), this.loads);
+  readonly view = createFleetView(createMember("self"), this.loads);
   readonly incarnations = MEMBERS.map(() => 1);
   /** Incarnation in which a member's own report said that it leaves. */
   readonly left = new Map<number, number>();
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -15,7 +15,7 @@
 } from "./fleet_view.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import {
-  createFleet,
+  createFleetView,
   createMember as createNamedMember,
 } from "../tests/member_fixture.ts";
 
@@ -31,7 +31,7 @@
 }
 
 function createView(): FleetView {
-  const view = createFleet();
+  const view = createFleetView();
   view.setState("ready");
   return view;
 }
--- a/forwarding/call_forwarder_test.ts
+++ b/forwarding/call_forwarder_test.ts
@@ -7,7 +7,7 @@
 import { NO_METRICS } from "../metrics/mod.ts";
 import { ServerRegistry } from "../servers/mod.ts";
 import {
-  createFleet,
+  createFleetView,
   createMember,
   createServerEntry,
 } from "../tests/member_fixture.ts";
@@ -15,7 +15,7 @@
   ANSWERING_CLIENT,
   createHeadSink,
   createOpaqueCall,
-  ONE_ROUTE,
+  SINGLE_ROUTE_TABLE,
 } from "../tests/opaque_call_fixture.ts";
 import { createReport } from "../tests/report_fixture.ts";
 import { CallForwarder } from "./call_forwarder.ts";
@@ -47,7 +47,7 @@
   const { serverRegion = "north", peerClient = ANSWERING_CLIENT } = options;
   const clock = new VirtualClock();
   const loads = new LoadTracker();
-  const fleet = createFleet(createMember("a"), loads);
+  const fleet = createFleetView(createMember("a"), loads);
   const registry = new ServerRegistry();
   const region = toRegionId(serverRegion);
   registry.put(createServerEntry("s1", { region }), clock.nowMs());
@@ -89,7 +89,7 @@
         serverRegion: "south",
         peerClient,
       });
-      forwarder.setTable(ONE_ROUTE);
+      forwarder.setTable(SINGLE_ROUTE_TABLE);
       meet("south-1", "south");
       meet("south-2", "south");
       const heads = handle();
@@ -108,7 +108,7 @@
       const heads = handle();
       await clock.advance(60);
       assert.deepEqual(heads, []);
-      forwarder.setTable(ONE_ROUTE);
+      forwarder.setTable(SINGLE_ROUTE_TABLE);
       await clock.advance(1);
       assert.deepEqual(heads.map(({ status }) => status), [200]);
     });
--- a/forwarding/choose_server_test.ts
+++ b/forwarding/choose_server_test.ts
@@ -9,7 +9,7 @@
 import { LearnedServers } from "./learned_servers.ts";
 import { type PrefixCacheModel, toKeyedParts } from "./prefix_cache_model.ts";
 import {
-  createFleet,
+  createFleetView,
   createMember,
   createServerEntry,
 } from "../tests/member_fixture.ts";
@@ -26,7 +26,7 @@
 
 function start(servers: readonly string[], coldForMs = 0) {
   const loads = new LoadTracker();
-  const fleet = createFleet(createMember("self"), loads);
+  const fleet = createFleetView(createMember("self"), loads);
   const parts = {
     ownRegion: NORTH,
     registry: new ServerRegistry(),
--- a/forwarding/event_loop_gate_test.ts
+++ b/forwarding/event_loop_gate_test.ts
@@ -1,18 +1,18 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { setImmediate } from "node:timers/promises";
-import { SlowLoop } from "../tests/slow_loop.ts";
+import { VirtualEventLoop } from "../tests/virtual_event_loop.ts";
 import { EventLoopGate } from "./event_loop_gate.ts";
 
 function start() {
-  const loop = new SlowLoop();
+  const loop = new VirtualEventLoop();
   const gate = new EventLoopGate(loop);
   const begun: number[] = [];
   const enter = (call: number) =>
     void gate.enter().then(() => begun.push(call));
   const runIteration = async () => {
-    loop.work(1);
-    loop.turn();
+    loop.block(1);
+    loop.runDueTimers();
     await setImmediate();
   };
   return { gate, begun, enter, loop, runIteration };
@@ -49,7 +49,7 @@
     const { gate, enter, loop, runIteration } = start();
     Array.from({ length: 60 }, (_, call) => enter(call));
     for (let iteration = 0; iteration < 30; iteration++) {
-      loop.work(9);
+      loop.block(9);
       await runIteration();
     }
     assert.ok(gate.waitMs > 200, `waits ${gate.waitMs} ms`);
--- a/forwarding/limit_gate_test.ts
+++ b/forwarding/limit_gate_test.ts
@@ -4,11 +4,11 @@
 import { createRandom } from "../clock/mod.ts";
 import { type InstanceId, toBackendId } from "../ids/mod.ts";
 import {
-  countMostSends,
-  createSharing,
+  countMaxSends,
+  createFleetStub,
   listKnownMembers,
-  toMemberName,
-} from "../tests/sharing_fixture.ts";
+  toMemberId,
+} from "../tests/fleet_stub_fixture.ts";
 import { LimitGate } from "./limit_gate.ts";
 import { ServerLimits } from "./server_limits.ts";
 
@@ -21,7 +21,7 @@
   known: readonly InstanceId[],
   perSecond: number,
 ) {
-  const fleet = createSharing(self, known);
+  const fleet = createFleetStub(self, known);
   const limits = new ServerLimits();
   const name = (limit: number | undefined, atMs: number) =>
     limits.recordAdvertised(SERVER, { perSecond: limit, sentMs: atMs }, atMs);
@@ -73,7 +73,7 @@
         fc.property(inputs, ({ instances, perSecond, seed, unknown }) => {
           const all = Array.from(
             { length: instances },
-            (_, at) => toMemberName(at),
+            (_, at) => toMemberId(at),
           );
           const gates = all.map((self, index) => {
             const known = listKnownMembers(all, index, unknown);
@@ -81,7 +81,7 @@
           });
           const sentMs = play(gates, createArrivals(instances, seed));
           assert.ok(
-            countMostSends(sentMs, WINDOW_MS) <= countTolerated(perSecond),
+            countMaxSends(sentMs, WINDOW_MS) <= countTolerated(perSecond),
           );
         }),
         { numRuns: 200, seed: 20_261_203 },
@@ -93,7 +93,7 @@
         .forEach(([instances, perSecond]) => {
           const all = Array.from(
             { length: instances! },
-            (_, at) => toMemberName(at),
+            (_, at) => toMemberId(at),
           );
           const gates = all.map((self) =>
             createGate(self, all, perSecond!).gate
@@ -112,7 +112,7 @@
   });
 
   it("admits a call now and then at a limit of 0, so that an answer can report its end", () => {
-    const { gate } = createGate(toMemberName(0), [toMemberName(0)], 0);
+    const { gate } = createGate(toMemberId(0), [toMemberId(0)], 0);
     const arrivals = Array.from({ length: 600 }, (_, at) => ({
       atMs: 1_000 + 100 * at,
       instance: 0,
@@ -122,7 +122,7 @@
   });
 
   it("is closed until the members of the region are known", () => {
-    const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 10);
+    const { fleet, gate } = createGate(toMemberId(0), [toMemberId(0)], 10);
     fleet.isSettledNow = false;
     assert.equal(gate.isOpen(SERVER, 1_000), false);
     fleet.isSettledNow = true;
@@ -130,17 +130,17 @@
   });
 
   it("computes the share again when the members change", () => {
-    const { fleet, gate } = createGate(toMemberName(0), [toMemberName(0)], 0.2);
+    const { fleet, gate } = createGate(toMemberId(0), [toMemberId(0)], 0.2);
     assert.equal(gate.isOpen(SERVER, 1_000), true);
-    fleet.known = Array.from({ length: 200 }, (_, at) => toMemberName(at));
+    fleet.known = Array.from({ length: 200 }, (_, at) => toMemberId(at));
     fleet.membershipVersion++;
     assert.equal(gate.isOpen(SERVER, 1_000), false);
   });
 
   it("does not carry unused calls of a high limit over to a lower one", () => {
     const { gate, name } = createGate(
-      toMemberName(0),
-      [toMemberName(0)],
+      toMemberId(0),
+      [toMemberId(0)],
       40,
     );
     gate.isOpen(SERVER, 0);
@@ -154,8 +154,8 @@
 
   it("is open for a server that no longer advertises a limit", () => {
     const { gate, name } = createGate(
-      toMemberName(0),
-      [toMemberName(0)],
+      toMemberId(0),
+      [toMemberId(0)],
       0.2,
     );
     gate.record(SERVER, 1_000);
--- a/forwarding/warm_up_gate_test.ts
+++ b/forwarding/warm_up_gate_test.ts
@@ -5,18 +5,18 @@
 import { type InstanceId, toBackendId } from "../ids/mod.ts";
 import { WarmUpGate } from "./warm_up_gate.ts";
 import {
-  countMostSends,
-  createSharing,
+  countMaxSends,
+  createFleetStub,
   listKnownMembers,
-  toMemberName,
-} from "../tests/sharing_fixture.ts";
+  toMemberId,
+} from "../tests/fleet_stub_fixture.ts";
 
 const SERVER = toBackendId("s1");
 const BOUNDS = { overshoot: 1.5, slack: 3 };
 
 /** Creates a gate whose members can be changed. */
 function createGate(self: InstanceId, known: readonly InstanceId[]) {
-  const fleet = createSharing(self, known);
+  const fleet = createFleetStub(self, known);
   return { gate: new WarmUpGate({ fleet, bounds: BOUNDS }), fleet };
 }
 
@@ -62,7 +62,7 @@
         fc.property(INPUTS, ({ callsPerSecond, instances, unknown, seed }) => {
           const all = Array.from(
             { length: instances },
-            (_, at) => toMemberName(at),
+            (_, at) => toMemberId(at),
           );
           const gates = all.map((self, index) => {
             const known = listKnownMembers(all, index, unknown);
@@ -74,7 +74,7 @@
             callsPerSecond,
           );
           const bound = BOUNDS.overshoot * callsPerSecond + BOUNDS.slack;
-          assert.ok(countMostSends(sentMs, 1_000) <= bound);
+          assert.ok(countMaxSends(sentMs, 1_000) <= bound);
         }),
         { numRuns: 300, seed: 20_261_202 },
       );
@@ -85,7 +85,7 @@
         ([instances, callsPerSecond]) => {
           const all = Array.from(
             { length: instances! },
-            (_, at) => toMemberName(at),
+            (_, at) => toMemberId(at),
           );
           const gates = all.map((self) => createGate(self, all).gate);
           const arrivals = Array.from({ length: 40_000 }, (_, index) => ({
@@ -100,7 +100,7 @@
   });
 
   it("is closed until the members of the region are known", () => {
-    const { gate, fleet } = createGate(toMemberName(0), [toMemberName(0)]);
+    const { gate, fleet } = createGate(toMemberId(0), [toMemberId(0)]);
     fleet.isSettledNow = false;
     assert.equal(gate.isOpen(SERVER, 10, 1_000), false);
     fleet.isSettledNow = true;
@@ -108,9 +108,9 @@
   });
 
   it("computes the share again when the members change", () => {
-    const { gate, fleet } = createGate(toMemberName(0), [toMemberName(0)]);
+    const { gate, fleet } = createGate(toMemberId(0), [toMemberId(0)]);
     assert.equal(gate.isOpen(SERVER, 2.4, 1_000), true);
-    fleet.known = Array.from({ length: 200 }, (_, at) => toMemberName(at));
+    fleet.known = Array.from({ length: 200 }, (_, at) => toMemberId(at));
     fleet.membershipVersion++;
     assert.equal(gate.isOpen(SERVER, 2.4, 1_000), false);
   });
--- a/tests/server_word_test.ts
+++ b/tests/advertised_server_state_test.ts
@@ -3,8 +3,8 @@
 import { afterEach, describe, it } from "node:test";
 import { createRoute, createRouteTable } from "./route_fixture.ts";
 import {
-  type Deed,
-  type EndedCall,
+  type CallOutcome,
+  type ServerAction,
   VirtualFleet,
   type VirtualFleetParts,
 } from "./virtual_fleet.ts";
@@ -15,8 +15,8 @@
 /** Calls that may reach a server in its cool-down after that time. */
 const ALLOWED_CALLS = 2;
 
-const ANSWER: Deed = { kind: "answer", afterMs: 40 };
-const REJECTION: Deed = {
+const ANSWER: ServerAction = { kind: "answer", afterMs: 40 };
+const REJECTION: ServerAction = {
   kind: "reject",
   headers: ["Retry-After", String(COOLDOWN_MS / 1_000)],
 };
@@ -43,8 +43,8 @@
 async function sendCalls(
   fleet: VirtualFleet,
   durationMs: number,
-): Promise<readonly EndedCall[]> {
-  const ended: EndedCall[] = [];
+): Promise<readonly CallOutcome[]> {
+  const ended: CallOutcome[] = [];
   for (let atMs = 0; atMs < durationMs; atMs += 20) {
     void fleet.call(`call ${fleet.clock.nowMs()}`)
       .then((end) => ended.push(end));
--- a/tests/busy_loop.ts
+++ b/tests/block_event_loop.ts
@@ -18,7 +18,7 @@
  * @param host Address of the listener.
  * @param request The whole request, as it is sent.
  */
-export async function leaveUnaccepted(
+export async function disconnectBeforeAccept(
   port: number,
   host: string,
   request: string,
--- a/tests/busy_instance_test.ts
+++ b/tests/busy_instance_test.ts
@@ -1,7 +1,7 @@
 // Guards against timing calls from when they are read: with the event loop over 1 s behind, a caller that had waited 1.25 s got the 504 of its 400 ms timeout after 1.66 s (logged as `timed-out` with `afterMs=403`, and the server was passed all 400 ms); 49 of 72 such calls had no answer half a second after their timeout.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { blockEventLoop, leaveUnaccepted } from "./busy_loop.ts";
+import { blockEventLoop, disconnectBeforeAccept } from "./block_event_loop.ts";
 import {
   createAnswer,
   createRequest,
@@ -93,7 +93,7 @@
         routes: [{ prefix: "/slow/" }],
         servers: { s1: server.address },
       });
-      await leaveUnaccepted(
+      await disconnectBeforeAccept(
         fixture.port,
         fixture.host,
         createRequest("/slow/"),
--- a/tests/sharing_fixture.ts
+++ b/tests/fleet_stub_fixture.ts
@@ -2,12 +2,12 @@
 import { createMember } from "./member_fixture.ts";
 
 /** Returns the id of an instance of region `north`. */
-export function toMemberName(index: number): InstanceId {
+export function toMemberId(index: number): InstanceId {
   return toInstanceId(`north-${index}`);
 }
 
 /** Returns one instance's view of the instances that share rate bounds; tests may change it. */
-export function createSharing(
+export function createFleetStub(
   self: InstanceId,
   known: readonly InstanceId[],
 ) {
@@ -42,7 +42,7 @@
 }
 
 /** Returns the maximum number of sends in any span of `spanMs` milliseconds that ends with a send. */
-export function countMostSends(
+export function countMaxSends(
   sentMs: readonly number[],
   spanMs: number,
 ): number {
--- a/tests/member_fixture.ts
+++ b/tests/member_fixture.ts
@@ -30,7 +30,7 @@
  * @param self Record of the instance. Default: `self`, in region `north`.
  * @param loads Tracker that is updated from received reports. Default: a new one.
  */
-export function createFleet(
+export function createFleetView(
   self: MemberRecord = createMember("self"),
   loads = new LoadTracker(),
 ): FleetView {
--- a/tests/opaque_call_fixture.ts
+++ b/tests/opaque_call_fixture.ts
@@ -18,7 +18,7 @@
 };
 
 /** Route table with one idempotent route to the plain service `app`, which the calls below match. */
-export const ONE_ROUTE = createRouteTable([createRoute("/a/")]);
+export const SINGLE_ROUTE_TABLE = createRouteTable([createRoute("/a/")]);
 
 /**
  * Returns a call as it arrives from a caller.
--- a/tests/server_limit_test.ts
+++ b/tests/server_limit_test.ts
@@ -3,8 +3,8 @@
 import { createRoute, createRouteTable } from "./route_fixture.ts";
 import {
   type Arrival,
-  type Deed,
-  type EndedCall,
+  type CallOutcome,
+  type ServerAction,
   VirtualFleet,
   type VirtualFleetParts,
 } from "./virtual_fleet.ts";
@@ -20,7 +20,7 @@
 const APPLIED_AFTER_MS = 500;
 const LIMITED_SERVER = "north-server-0";
 /** The limited server answers faster, so that it is preferred. */
-const decide = ({ server }: Arrival): Deed => ({
+const decide = ({ server }: Arrival): ServerAction => ({
   kind: "answer",
   afterMs: server === LIMITED_SERVER ? 20 : 40,
 });
@@ -57,8 +57,8 @@
 async function sendCalls(
   fleet: VirtualFleet,
   durationMs: number,
-): Promise<readonly EndedCall[]> {
-  const ended: EndedCall[] = [];
+): Promise<readonly CallOutcome[]> {
+  const ended: CallOutcome[] = [];
   for (let atMs = 0; atMs < durationMs; atMs += 10) {
     void fleet.call(`call ${fleet.clock.nowMs()}`)
       .then((end) => ended.push(end));
@@ -93,7 +93,7 @@
   return OVERSHOOT * perSecond * WINDOW_MS / 1_000 + SLACK_CALLS;
 }
 
-function countServed(ended: readonly EndedCall[]): number {
+function countServed(ended: readonly CallOutcome[]): number {
   return ended.filter(({ status }) => status === 200).length;
 }
 
--- a/tests/slow_loop.ts
+++ b/tests/virtual_event_loop.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../clock/mod.ts";
 
 /** A simulated event loop and its clock: a test sets how long each iteration takes, and runs the timers between iterations. */
-export class SlowLoop implements Clock {
+export class VirtualEventLoop implements Clock {
   #nowMs = 0;
   #timers: {
     readonly dueMs: number;
@@ -22,12 +22,12 @@
   }
 
   /** Advances the clock by the time of an iteration in milliseconds, without running timers. */
-  work(forMs: number): void {
+  block(forMs: number): void {
     this.#nowMs += forMs;
   }
 
   /** Runs all timers that are due. */
-  turn(): void {
+  runDueTimers(): void {
     const due = this.#timers.filter(({ dueMs }) => dueMs <= this.#nowMs)
       .sort((a, b) => a.dueMs - b.dueMs);
     this.#timers = this.#timers.filter((timer) => !due.includes(timer));
--- a/tests/virtual_fleet.ts
+++ b/tests/virtual_fleet.ts
@@ -35,7 +35,7 @@
 }
 
 /** How a backend server responds to a call. */
-export type Deed =
+export type ServerAction =
   | {
     readonly kind: "answer";
     readonly afterMs: number;
@@ -48,7 +48,7 @@
   | { readonly kind: "reject"; readonly headers: readonly string[] };
 
 /** Outcome of a call, as its caller saw it. */
-export interface EndedCall {
+export interface CallOutcome {
   readonly status: number;
   readonly headers: readonly string[];
 }
@@ -61,7 +61,7 @@
   >;
   readonly table: RouteTable;
   /** Decides how a server responds to a call. */
-  readonly decide: (arrival: Arrival) => Deed;
+  readonly decide: (arrival: Arrival) => ServerAction;
   /** Time after which a crashed server is replaced, in milliseconds. Default: never. */
   readonly replacedAfterMs?: number;
   /** Returns headers that a server adds to each answer besides the call's id. Default: none. */
@@ -149,7 +149,7 @@
     body: string,
     address = this.#pickAddress(),
     target = "/a/x",
-  ): Promise<EndedCall> {
+  ): Promise<CallOutcome> {
     const callId = `c${this.#callCount++}`;
     const headers = [
       "Host",
