--- a/bin/start_daemon.ts
+++ b/bin/start_daemon.ts
@@ -46,7 +46,7 @@
   /** Gateway for plain HTTP calls; `undefined` if the settings have no `http` section. */
   readonly http: RunningHttpGateway | undefined;
   /** Bytes of heartbeats exchanged with peers. */
-  readonly peerBytes: { readonly sent: number; readonly received: number };
+  readonly heartbeatBytes: { readonly sent: number; readonly received: number };
   /** Reloads the certificates from the files that the settings name. */
   reloadTls(): void;
   /** Shuts down gracefully: waits for calls in flight, at most for the drain timeout. */
@@ -136,7 +136,7 @@
     gateway,
     record,
     http: httpGateway,
-    peerBytes: transport.heartbeatBytes,
+    heartbeatBytes: transport.heartbeatBytes,
     reloadTls: () => reloadTls(settings, listener, logger),
     shutDown: async () => {
       const drainTimeout = new AbortController();
--- a/forwarding/call_gate.ts
+++ b/forwarding/call_gate.ts
@@ -2,7 +2,7 @@
 import type { FleetLimits } from "../admission/mod.ts";
 import type { Clock } from "../clock/mod.ts";
 import type { HttpRoute, RouteConfiguration } from "../http_routes/mod.ts";
-import { LineBudget, type Logger } from "../logs/mod.ts";
+import { LineRateLimiter, type Logger } from "../logs/mod.ts";
 import type { Metrics } from "../metrics/mod.ts";
 import { computeCallWeight, type Team } from "../teams/mod.ts";
 import type { CallFacts } from "./call_header_codec.ts";
@@ -44,7 +44,7 @@
 /** Admits calls of known teams within the limits of these teams, and logs why others are refused. */
 export class CallGate {
   readonly #parts: CallGateParts;
-  readonly #logBudget = new LineBudget(MAX_LOG_LINES_PER_SECOND);
+  readonly #logBudget = new LineRateLimiter(MAX_LOG_LINES_PER_SECOND);
 
   /** @param parts Clock, limits, logger and metrics. */
   constructor(parts: CallGateParts) {
@@ -140,7 +140,7 @@
   ): void {
     const { clock, logger, metrics } = this.#parts;
     metrics.count("call.not_let_in", 1, { reason: refusal.reason });
-    const passedOver = this.#logBudget.take(clock.nowMs());
+    const passedOver = this.#logBudget.admitLine(clock.nowMs());
     if (passedOver === undefined) return;
     logger.info("refused", {
       call: facts.callId,
--- a/logs/line_budget.ts
+++ b/logs/line_rate_limiter.ts
@@ -5,7 +5,7 @@
  * Limits the rate of log lines of one kind, so that frequent events of that kind
  * do not hide the other lines.
  */
-export class LineBudget {
+export class LineRateLimiter {
   readonly #linesPerSecond: number;
   #windowStartMs = Number.NEGATIVE_INFINITY;
   #writtenInWindow = 0;
@@ -23,7 +23,7 @@
    * @returns Number of lines suppressed since the last one written; `undefined` if this line
    *   is suppressed, too.
    */
-  take(nowMs: number): number | undefined {
+  admitLine(nowMs: number): number | undefined {
     if (nowMs - this.#windowStartMs >= WINDOW_MS) {
       this.#windowStartMs = nowMs;
       this.#writtenInWindow = 0;
--- a/logs/mod.ts
+++ b/logs/mod.ts
@@ -8,6 +8,6 @@
  * ```
  * @module
  */
-export * from "./line_budget.ts";
+export * from "./line_rate_limiter.ts";
 export * from "./logger.ts";
 export * from "./explain_call.ts";
