--- a/bench/spill_bench.ts
+++ b/bench/spill_bench.ts
@@ -206,6 +206,6 @@
   const engines = [...fleet.backend.engines.values()]
     .filter((engine) => engine.region === region && !engine.isDown);
   if (engines.length === 0) return Infinity;
-  return engines.reduce((sum, { core }) => sum + core.inSystem, 0) /
+  return engines.reduce((sum, { core }) => sum + core.sequenceCount, 0) /
     engines.length;
 }
--- a/bench/subset_bench.ts
+++ b/bench/subset_bench.ts
@@ -198,7 +198,7 @@
           ),
       });
       if (startMs > 1_000_000 + WARMUP_MS) {
-        maxQueue = Math.max(maxQueue, core.inSystem);
+        maxQueue = Math.max(maxQueue, core.sequenceCount);
       }
     });
     clock.schedule(
@@ -234,7 +234,7 @@
     case "omniscient":
       return pickMinimum(
         models,
-        (model) => cores.get(model.server.id)!.inSystem,
+        (model) => cores.get(model.server.id)!.sequenceCount,
       );
     case "all, least reported":
       return pickMinimum(
--- a/bin/havenspur_load.ts
+++ b/bin/havenspur_load.ts
@@ -120,7 +120,7 @@
     return await (fault.leave === true ? daemon.shutDown() : daemon.kill());
   }
   const engine = deployment?.standins.engines.get(target);
-  if (engine !== undefined && fault.die === true) return await engine.die();
+  if (engine !== undefined && fault.die === true) return await engine.crash();
   if (engine !== undefined && fault.clearCache === true) {
     return engine.core.clearCache();
   }
--- a/bin/start_deployment.ts
+++ b/bin/start_deployment.ts
@@ -150,10 +150,12 @@
     plainServers,
     stop: async () => {
       await Promise.all([
-        platform.die(),
-        ...[...engines.values()].map((engine) => engine.die().catch(() => {})),
+        platform.crash(),
+        ...[...engines.values()].map((engine) =>
+          engine.crash().catch(() => {})
+        ),
         ...[...plainServers.values()].map((server) =>
-          server.die().catch(() => {})
+          server.crash().catch(() => {})
         ),
       ]);
     },
--- a/soak/apply_fault.ts
+++ b/soak/apply_fault.ts
@@ -183,13 +183,13 @@
       case "kill":
         return await this.#pause(process, async () => {
           process.signal("SIGKILL");
-          await process.awaitEnd();
+          await process.awaitExit();
           await this.#restart(process, durationMs);
         });
       case "stop": {
         const fromMs = this.#parts.clock.nowMs();
         process.signal("SIGTERM");
-        await process.awaitEnd();
+        await process.awaitExit();
         const toMs = this.#parts.clock.nowMs();
         this.#stops.push({ instance: process.name, fromMs, toMs });
         await this.#restart(process, durationMs);
@@ -283,7 +283,7 @@
     const { server } = slot;
     switch (what) {
       case "drain": {
-        server.saysItLeaves = true;
+        server.advertisesLeaving = true;
         await fleet.register(slot, true);
         const atMs = clock.nowMs();
         this.serverDepartures.push({ id: server.id, atMs, untilMs: Infinity });
@@ -299,7 +299,7 @@
       case "restart":
         return await fleet.restartServer(slot);
       case "overwrite": {
-        await fleet.operator.overwrite(server.id);
+        await fleet.operator.overwriteWithInvalid(server.id);
         const atMs = clock.nowMs();
         await this.#wait(durationMs);
         const untilMs = clock.nowMs();
@@ -309,7 +309,7 @@
         return;
       }
       case "say-leaving": {
-        server.saysItLeaves = true;
+        server.advertisesLeaving = true;
         const fromMs = clock.nowMs();
         await this.#wait(durationMs);
         this.advertisements.push({
@@ -322,9 +322,9 @@
       }
       case "rest": {
         const fromMs = clock.nowMs();
-        server.trouble = what;
+        server.fault = what;
         await this.#wait(durationMs);
-        server.trouble = "none";
+        server.fault = "none";
         const toMs = clock.nowMs();
         this.advertisements.push({
           server: server.id,
@@ -351,9 +351,9 @@
       case "hang":
       case "fail":
       case "break-off":
-        server.trouble = what;
+        server.fault = what;
         await this.#wait(durationMs);
-        server.trouble = "none";
+        server.fault = "none";
     }
   }
 
@@ -401,7 +401,7 @@
       store.setDown(false);
     });
     await fleet.configure();
-    await operator.writeAgain();
+    await operator.rewriteAll();
   }
 
   async #applyOperatorChange(
--- a/soak/caller.ts
+++ b/soak/caller.ts
@@ -1,6 +1,6 @@
 import { Agent, type IncomingMessage, request } from "node:http";
 import { createToken, type Random } from "../clock/mod.ts";
-import { ENDING_BODY } from "../standin/recording_server.ts";
+import { CRASHING_BODY } from "../standin/recording_server.ts";
 import {
   CALL_ID_HEADER,
   REMAINING_HEADER,
@@ -162,7 +162,7 @@
 function toBody(kind: CallKind): string {
   switch (kind) {
     case "ending":
-      return ENDING_BODY;
+      return CRASHING_BODY;
     case "non-idempotent":
     case "stream":
       return "work";
--- a/soak/check_promises_test.ts
+++ b/soak/check_promises_test.ts
@@ -53,7 +53,7 @@
     service: "work",
     atMs: 20_000,
     resumedAfter: undefined,
-    isEnding: false,
+    crashesServer: false,
     team: STEADY_TEAM.name,
     hasKey: false,
     ...more,
@@ -247,13 +247,17 @@
 
   it("finds runs of a call that crashed three servers, once each instance has to quarantine it", () => {
     const crashes = ["s1", "s2", "s3"].map((server) =>
-      createRun({ isEnding: true, server })
+      createRun({ crashesServer: true, server })
     );
     const later = (afterMs: number, count: number) =>
       Array.from(
         { length: count },
         () =>
-          createRun({ isEnding: true, server: "s4", atMs: 20_000 + afterMs }),
+          createRun({
+            crashesServer: true,
+            server: "s4",
+            atMs: 20_000 + afterMs,
+          }),
       );
     const promise: PromiseName = "a call that ends servers is kept from them";
     assert.deepEqual(check({ runs: [...crashes, ...later(4_900, 9)] }), []);
--- a/soak/soak_fleet.ts
+++ b/soak/soak_fleet.ts
@@ -10,7 +10,7 @@
   type RecordedRun,
   RecordingServer,
 } from "../standin/recording_server.ts";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 import { type Clock, waitFor } from "../clock/mod.ts";
 import {
   BOUND_HOST,
@@ -110,7 +110,7 @@
       Array.from({ length: instancesPerRegion }, () => region)
     );
     const hosts = instanceRegions.map((_, at) =>
-      toOwnLoopback(FIRST_HOST + at)
+      toLoopbackAddress(FIRST_HOST + at)
     );
     for (const [at, region] of instanceRegions.entries()) {
       const storeLink = new LinkProxy(storePort);
@@ -261,7 +261,7 @@
       nowMs: () => clock.nowMs(),
       record: recordRun,
       recordRefusal,
-      onEnded: () => void this.#replaceCrashed(id),
+      onCrashed: () => void this.#replaceCrashed(id),
     });
     const link = new LinkProxy(await server.open());
     const address = await link.open();
--- a/standin/engine_core.ts
+++ b/standin/engine_core.ts
@@ -96,7 +96,7 @@
   }
 
   /** Number of sequences that are running or waiting. */
-  get inSystem(): number {
+  get sequenceCount(): number {
     return this.#running.length + this.#waiting.length;
   }
 
--- a/standin/engine_server.ts
+++ b/standin/engine_server.ts
@@ -113,9 +113,9 @@
     await super.start(this.#parts.port);
   }
 
-  override async die(): Promise<void> {
+  override async crash(): Promise<void> {
     this.core.reset();
-    await super.die();
+    await super.crash();
   }
 
   protected override async serve(
--- a/standin/fake_fleet.ts
+++ b/standin/fake_fleet.ts
@@ -64,7 +64,7 @@
   readonly store: MemoryStore;
   readonly daemons: FakeDaemon[] = [];
   /** Instances that the platform lists. */
-  listed: InstanceRecord[] = [];
+  listedInstances: InstanceRecord[] = [];
   readonly #options: FakeFleetOptions;
   #nextSeed: number;
   readonly #watchesByRegion = new Map<string, Set<AbortController>>();
@@ -85,7 +85,7 @@
         (_, index) => createRecord(region, index),
       )
     );
-    this.listed = records;
+    this.listedInstances = records;
     records.forEach((record) => this.start(record));
   }
 
@@ -96,7 +96,7 @@
       clock: this.clock,
       random: createRandom(this.#nextSeed++),
       store: this.#createStoreView(record),
-      instances: { read: () => Promise.resolve(ok(this.listed)) },
+      instances: { read: () => Promise.resolve(ok(this.listedInstances)) },
       directory: { publish: () => Promise.resolve(ok(undefined)) },
       backend: this.backend.createClient(record.region),
       peers: this.network.createTransport(record),
--- a/standin/loopback_net.ts
+++ b/standin/loopback_address.ts
@@ -11,7 +11,7 @@
  *
  * @param host Last octet of the address, from 1 to 254.
  */
-export function toOwnLoopback(host: number): string {
+export function toLoopbackAddress(host: number): string {
   const { pid } = process;
   const net = FIRST_NET + pid % NETS;
   const subnet = Math.floor(pid / NETS) % SUBNETS;
--- a/standin/loopback_server.ts
+++ b/standin/loopback_server.ts
@@ -33,7 +33,7 @@
   }
 
   /** Stops listening and closes all connections immediately. */
-  async die(): Promise<void> {
+  async crash(): Promise<void> {
     const closed = new Promise<void>((resolve) =>
       this.#server.close(() => resolve())
     );
--- a/standin/platform_operator.ts
+++ b/standin/platform_operator.ts
@@ -105,7 +105,7 @@
   }
 
   /** Overwrites the entry of a server with a value that is not a valid entry. */
-  async overwrite(id: string): Promise<void> {
+  async overwriteWithInvalid(id: string): Promise<void> {
     await this.#put(`servers/${id}`, "no entry");
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** Writes all last values again, so that a store restored from an older copy regains those that it lost. */
-  async writeAgain(): Promise<void> {
+  async rewriteAll(): Promise<void> {
     for (const key of [...this.#written.keys()]) {
       // The value is read on each attempt, since another write may have changed it.
       while (!await this.#tryPut(key, this.#written.get(key))) {
--- a/standin/platform_process.ts
+++ b/standin/platform_process.ts
@@ -127,7 +127,7 @@
    *
    * @returns Exit code, or `null` if a signal ended the process.
    */
-  async awaitEnd(): Promise<number | null> {
+  async awaitExit(): Promise<number | null> {
     if (this.pid === undefined) return this.#child?.exitCode ?? null;
     const [code] = await once(this.#child!, "exit");
     return code as number | null;
--- a/standin/recording_server.ts
+++ b/standin/recording_server.ts
@@ -32,7 +32,7 @@
   | "rest";
 
 /** Body of a call that crashes each server that runs it. */
-export const ENDING_BODY = "ends the server";
+export const CRASHING_BODY = "ends the server";
 
 /** A call that a server started to run. */
 export interface RecordedRun {
@@ -43,7 +43,7 @@
   /** Number of the event after which the stream was resumed; `undefined`: it starts at the first event. */
   readonly resumedAfter: number | undefined;
   /** Whether the call crashes the server. */
-  readonly isEnding: boolean;
+  readonly crashesServer: boolean;
   /** Team from the header of the gateway; `undefined`: the header is missing or occurs more than once. */
   readonly team: string | undefined;
   /** Whether the caller's key was sent with the call. */
@@ -64,7 +64,7 @@
   readonly record: (run: RecordedRun) => void;
   readonly recordRefusal: (refusal: RecordedRefusal) => void;
   /** Called when a call has crashed the server. */
-  readonly onEnded: () => void;
+  readonly onCrashed: () => void;
 }
 
 /** Cool-down that a server asks for, in seconds. */
@@ -84,9 +84,9 @@
 /** A backend server that records each call that it runs. */
 export class RecordingServer {
   /** Current fault. */
-  trouble: ServerFault = "none";
+  fault: ServerFault = "none";
   /** Whether answers say that the server is shutting down. */
-  saysItLeaves = false;
+  advertisesLeaving = false;
   /** Limit that answers advertise, in calls per second; `undefined`: none. */
   limitPerSecond: number | undefined;
   readonly #parts: RecordingServerParts;
@@ -142,7 +142,8 @@
     const { id, nowMs, record, service } = this.#parts;
     const callId = String(request.headers[CALL_ID_HEADER] ?? "");
     const expected = request.headers[EXPECTED_SERVER_HEADER];
-    const isEnding = (await readBody(request)).toString() === ENDING_BODY;
+    const crashesServer =
+      (await readBody(request)).toString() === CRASHING_BODY;
     if (expected !== undefined && expected !== id) {
       response.writeHead(421, {
         [CALL_ID_HEADER]: callId,
@@ -151,7 +152,7 @@
       response.end();
       return;
     }
-    if (this.trouble === "rest") {
+    if (this.fault === "rest") {
       this.#refuse(response, callId);
       return;
     }
@@ -165,26 +166,26 @@
       service,
       atMs,
       resumedAfter,
-      isEnding,
+      crashesServer,
       team: teams.length === 1 ? teams[0] : undefined,
       hasKey: request.headers.authorization !== undefined,
     });
     await waitFor(systemClock, WORK_DURATION_MS);
-    if (isEnding) {
+    if (crashesServer) {
       this.crash();
-      this.#parts.onEnded();
+      this.#parts.onCrashed();
       return;
     }
-    if (this.trouble === "hang") return;
+    if (this.fault === "hang") return;
     const headers = {
       [CALL_ID_HEADER]: callId,
       [SIGNATURE_HEADER]: "signed",
-      ...(this.saysItLeaves ? { [LEAVING_HEADER]: "1" } : {}),
+      ...(this.advertisesLeaving ? { [LEAVING_HEADER]: "1" } : {}),
       ...(this.limitPerSecond === undefined
         ? {}
         : { [LIMIT_HEADER]: String(this.limitPerSecond) }),
     };
-    if (this.trouble === "fail") {
+    if (this.fault === "fail") {
       response.writeHead(500, headers);
       response.end("failed");
     } else if (request.url?.startsWith("/stream")) {
@@ -213,7 +214,7 @@
       ...headers,
       "content-length": String(Buffer.byteLength(body)),
     });
-    if (this.trouble !== "break-off") {
+    if (this.fault !== "break-off") {
       response.end(body);
       return;
     }
@@ -232,8 +233,8 @@
       "content-type": "text/event-stream",
     });
     for (let event = afterEvent + 1; event <= STREAM_EVENTS; event++) {
-      if (response.destroyed || this.trouble === "hang") return;
-      if (this.trouble === "break-off" && event > STREAM_EVENTS / 2) {
+      if (response.destroyed || this.fault === "hang") return;
+      if (this.fault === "break-off" && event > STREAM_EVENTS / 2) {
         response.write(`id: ${event}\nda`);
         response.destroy();
         return;
--- a/tests/caller_keys_test.ts
+++ b/tests/caller_keys_test.ts
@@ -1,7 +1,7 @@
 // Calls to a deployment with teams ran without a check of their keys, and servers got the key instead of the team's name.
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import {
   createAnswer,
@@ -22,7 +22,7 @@
 const CLEAN_UPS: (() => void)[] = [];
 afterEach(() => CLEAN_UPS.splice(0).forEach((cleanUp) => cleanUp()));
 
-const FAR_HOST = toOwnLoopback(2);
+const FAR_HOST = toLoopbackAddress(2);
 const ROASTERS: TeamFixture = { name: "roasters", apiKeys: ["key-1", "key-2"] };
 const DRINKERS: TeamFixture = { name: "drinkers", apiKeys: ["key-3"] };
 
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -11,7 +11,7 @@
   createDocumentDecoder,
   PLATFORM_HEADER_CODEC,
 } from "../platform/mod.ts";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 import { MemoryStore } from "../standin/mod.ts";
 import { StateFollower } from "../state/mod.ts";
 import { createFullCopy } from "./state_fixture.ts";
@@ -85,7 +85,7 @@
 export async function startGateway(
   parts: GatewayFixtureParts,
 ): Promise<GatewayFixture> {
-  const host = parts.host ?? toOwnLoopback(1);
+  const host = parts.host ?? toLoopbackAddress(1);
   const region = parts.region ?? "north";
   const pool = new ConnectionPool();
   const closing = new AbortController();
--- a/tests/platform_processes_test.ts
+++ b/tests/platform_processes_test.ts
@@ -4,7 +4,7 @@
 import { after, afterEach, describe, it } from "node:test";
 import { systemClock } from "../adapters/system_clock.ts";
 import { buildProgram } from "../standin/build_program.ts";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 import { MemoryStore } from "../standin/memory_store.ts";
 import {
   PLATFORM_PORTS,
@@ -103,7 +103,7 @@
     const { standin } = await startPlatform((_, socket) => {
       finish = () => socket.write(createAnswer("c1", "late but whole"));
     });
-    const hosts = [toOwnLoopback(1), toOwnLoopback(2)] as const;
+    const hosts = [toLoopbackAddress(1), toLoopbackAddress(2)] as const;
     const [seed] = hosts;
     const first = startInstance("a", hosts[0], seed, standin.address);
     const second = startInstance("b", hosts[1], seed, standin.address);
@@ -130,18 +130,18 @@
     finish();
     const answer = await caller.awaitText("late but whole");
     assert.match(answer, /^HTTP\/1\.1 200 OK/);
-    assert.equal(await second.awaitEnd(), 0);
+    assert.equal(await second.awaitExit(), 0);
   });
 
   it("get the state from each other when one starts without the store", async () => {
     const { standin } = await startPlatform((_, socket) =>
       socket.write(createAnswer("c1", "served"))
     );
-    const hosts = [toOwnLoopback(3), toOwnLoopback(4)] as const;
+    const hosts = [toLoopbackAddress(3), toLoopbackAddress(4)] as const;
     const [seed] = hosts;
     const first = startInstance("a", hosts[0], seed, standin.address);
     await awaitReady(first);
-    const unreachableStore = `${toOwnLoopback(5)}:1`;
+    const unreachableStore = `${toLoopbackAddress(5)}:1`;
     const second = startInstance("b", hosts[1], seed, unreachableStore);
     await awaitReady(second);
     const caller = await openRawCaller(PLATFORM_PORTS.callers, second.host);
--- a/tests/processes_test.ts
+++ b/tests/processes_test.ts
@@ -120,8 +120,8 @@
 
   after(async () => {
     daemons.forEach(({ child }) => child.kill("SIGKILL"));
-    await platform.die();
-    await Promise.all(engines.map((engine) => engine.die()));
+    await platform.crash();
+    await Promise.all(engines.map((engine) => engine.crash()));
     rmSync(folder, { recursive: true });
   });
 
--- a/tests/raw_http.ts
+++ b/tests/raw_http.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 
 /** Backend server for which a test writes the bytes of each answer. */
 export interface RawServer {
@@ -71,7 +71,7 @@
 /** Opens a connection to a loopback port, by default at the address of test gateways. */
 export async function openRawCaller(
   port: number,
-  host = toOwnLoopback(1),
+  host = toLoopbackAddress(1),
 ): Promise<RawCaller> {
   const socket = connect(port, host);
   await once(socket, "connect");
--- a/tests/region_hop_test.ts
+++ b/tests/region_hop_test.ts
@@ -1,7 +1,7 @@
 import { createReport } from "./report_fixture.ts";
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { toOwnLoopback } from "../standin/loopback_net.ts";
+import { toLoopbackAddress } from "../standin/loopback_address.ts";
 import { type FleetReport } from "../fleet/mod.ts";
 import { toFailureDomainId, toInstanceId, toRegionId } from "../ids/mod.ts";
 import {
@@ -20,7 +20,7 @@
 const CLEAN_UPS: (() => void)[] = [];
 afterEach(() => CLEAN_UPS.splice(0).forEach((cleanUp) => cleanUp()));
 
-const FAR_HOST = toOwnLoopback(2);
+const FAR_HOST = toLoopbackAddress(2);
 
 /** Returns a report of the instance in the far region. */
 function createFarReport(peerPort: number, name = FAR_HOST): FleetReport {
