--- a/bin/havenspur_soak.ts
+++ b/bin/havenspur_soak.ts
@@ -73,7 +73,8 @@
 }
 
 function printReport(report: SoakReport): void {
-  const { calls, faults, mostMemoryMb, seed, served, violations } = report;
+  const { calls, faults, maxMemoryMb: mostMemoryMb, seed, served, violations } =
+    report;
   console.log(
     `seed ${seed}: ${faults} faults, ${served} of ${calls} calls served, ` +
       `${mostMemoryMb} MB at most, ${violations.length} promises broken`,
--- a/soak/apply_fault.ts
+++ b/soak/fault_runner.ts
@@ -1,6 +1,6 @@
 import { type Clock, type Random, waitFor } from "../clock/mod.ts";
 import { runCrowd } from "./crowd.ts";
-import { sendCrashingCalls } from "./ending_calls.ts";
+import { sendCrashingCalls } from "./crashing_calls.ts";
 import { type Fault, formatFault, type PlannedFault } from "./plan.ts";
 import type {
   AbandonedCall,
--- a/soak/mod.ts
+++ b/soak/mod.ts
@@ -17,7 +17,7 @@
  * ```
  * @module
  */
-export * from "./apply_fault.ts";
+export * from "./fault_runner.ts";
 export * from "./caller.ts";
 export * from "./check_promises.ts";
 export * from "./crowd.ts";
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -6,7 +6,7 @@
   RecordedRefusal,
   RecordedRun,
 } from "../standin/recording_server.ts";
-import { FaultRunner } from "./apply_fault.ts";
+import { FaultRunner } from "./fault_runner.ts";
 import { BOUND_HOST, SOAK_HOST, SoakCaller } from "./caller.ts";
 import { checkPromises, type Violation } from "./check_promises.ts";
 import {
@@ -44,7 +44,7 @@
   readonly faults: number;
   readonly violations: readonly Violation[];
   /** Memory of the largest process at the end, in MB. */
-  readonly mostMemoryMb: number;
+  readonly maxMemoryMb: number;
 }
 
 const REGIONS = ["north", "south", "west"];
@@ -147,7 +147,7 @@
         .length,
     faults: plan.length,
     violations,
-    mostMemoryMb: Math.max(...processes.map(({ memoryMb }) => memoryMb)),
+    maxMemoryMb: Math.max(...processes.map(({ memoryMb }) => memoryMb)),
   };
 }
 
