--- a/bench/batch_bench.ts
+++ b/bench/batch_bench.ts
@@ -1,6 +1,6 @@
 import { createRandom } from "../clock/mod.ts";
 import type { Policies } from "../daemon/mod.ts";
-import { computeThreshold } from "./paper_threshold.ts";
+import { computeBatchThreshold } from "./compute_batch_threshold.ts";
 import { FakeFleet } from "../standin/mod.ts";
 import { type BenchResult, toCell } from "./bench_case.ts";
 import { declareFleet, FLEET_MODEL } from "./fleet_resources.ts";
@@ -33,7 +33,7 @@
     },
     "threshold (paper, 3.4)": {
       computeThreshold: (servers) =>
-        computeThreshold({
+        computeBatchThreshold({
           servers,
           arrivalsPerSecond: INTERACTIVE_CALLS_PER_SECOND,
           servedPerSecond: SERVED_PER_SECOND,
--- a/bench/bench_case.ts
+++ b/bench/bench_case.ts
@@ -31,7 +31,10 @@
 }
 
 /** Returns a quantile of values, or 0 without values; `share` goes from 0 to 1. */
-export function readQuantile(values: readonly number[], share: number): number {
+export function computeQuantile(
+  values: readonly number[],
+  share: number,
+): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[
     Math.min(sorted.length - 1, Math.floor(sorted.length * share))
--- a/bench/paper_threshold.ts
+++ b/bench/compute_batch_threshold.ts
@@ -31,7 +31,7 @@
  * @param maxMeanWaitMs Maximum mean wait, in milliseconds.
  * @returns A threshold from 0 to the number of servers.
  */
-export function computeThreshold(
+export function computeBatchThreshold(
   rates: PoolRates,
   maxMeanWaitMs: number,
 ): number {
--- a/bench/config_bench.ts
+++ b/bench/config_bench.ts
@@ -1,6 +1,6 @@
 import { createRandom } from "../clock/mod.ts";
 import { FakeFleet, hashToken } from "../standin/mod.ts";
-import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
+import { type BenchResult, computeQuantile, toCell } from "./bench_case.ts";
 
 const CHANGES = 40;
 const CHANGE_INTERVAL_MS = 1_500;
@@ -128,7 +128,7 @@
   const after = readCost(fleet);
   fleet.stop();
   return {
-    p50: readQuantile(durationsMs, 0.5),
+    p50: computeQuantile(durationsMs, 0.5),
     max: Math.max(...durationsMs),
     reverts,
     callsPerSecond: (after.storeCalls - before.storeCalls) / seconds,
--- a/bench/crowd_bench.ts
+++ b/bench/crowd_bench.ts
@@ -7,10 +7,10 @@
   createVirtualGateway,
   LOADED_STATE,
 } from "../tests/virtual_gateway.ts";
-import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
+import { type BenchResult, computeQuantile, toCell } from "./bench_case.ts";
 import {
   encodePrompt,
-  PROMPT_GRAMMAR,
+  PROMPT_HEADER_CODEC,
   VirtualEngine,
 } from "./virtual_engine.ts";
 
@@ -126,11 +126,11 @@
       toCell(100 * long!),
       toCell(100 * short!),
       toCell(
-        mean(({ firstEventMs }) => readQuantile(firstEventMs[0]!, 0.95)),
+        mean(({ firstEventMs }) => computeQuantile(firstEventMs[0]!, 0.95)),
         0,
       ),
       toCell(
-        mean(({ firstEventMs }) => readQuantile(firstEventMs[1]!, 0.95)),
+        mean(({ firstEventMs }) => computeQuantile(firstEventMs[1]!, 0.95)),
         0,
       ),
       toCell(crowding, 2),
@@ -235,7 +235,7 @@
     const gateway = createVirtualGateway(address, {
       clock,
       random: createRandom(index + 1),
-      headerCodec: PROMPT_GRAMMAR,
+      headerCodec: PROMPT_HEADER_CODEC,
       seedAddresses: ["north-0"],
       self: {
         ...createVirtualGateway(address).fleet.self,
--- a/bench/grants_fleet.ts
+++ b/bench/grants_fleet.ts
@@ -3,8 +3,8 @@
   type LimitArrival,
   type LimitFleet,
   type LimitFleetParts,
-  readRegion,
   TICK_MS,
+  toRegionIndex,
 } from "./limit_fleet.ts";
 
 /** Time during which a grant may be spent, in milliseconds. */
@@ -61,14 +61,14 @@
   }
 
   tick(nowMs: number): void {
-    const { isFrozen, isHeard } = this.#parts;
+    const { isStalled, isReachable } = this.#parts;
     const owner = 0;
     this.#requested.forEach((requested, at) => {
       this.#demand[at] = DEMAND_MEMORY * this.#demand[at]! +
         (1 - DEMAND_MEMORY) * requested;
       this.#requested[at] = 0;
     });
-    if (isFrozen(owner, nowMs)) return;
+    if (isStalled(owner, nowMs)) return;
     const { burst, perSecond } = this.#limit;
     this.#tokens = Math.min(
       burst + perSecond * TICK_MS / 1_000,
@@ -76,7 +76,7 @@
     );
     this.#atMs = nowMs;
     const demands = this.#demand.map((demand, at) =>
-      isHeard(at, owner, nowMs) && !isFrozen(at, nowMs) ? demand : 0
+      isReachable(at, owner, nowMs) && !isStalled(at, nowMs) ? demand : 0
     );
     const total = demands.reduce((sum, demand) => sum + demand, 0);
     if (total <= 0) return;
@@ -85,8 +85,8 @@
     demands.forEach((demand, at) => {
       if (demand <= 0) return;
       this.sent += 2;
-      const latencyMs = readRegion(at) === readRegion(owner) ? 4 : 110;
-      if (!isHeard(owner, at, nowMs)) return;
+      const latencyMs = toRegionIndex(at) === toRegionIndex(owner) ? 4 : 110;
+      if (!isReachable(owner, at, nowMs)) return;
       const granted = given * demand / total;
       const repaid = Math.min(granted, this.#debt[at]!);
       this.#debt[at]! -= repaid;
--- a/bench/journal_bench.ts
+++ b/bench/journal_bench.ts
@@ -14,7 +14,7 @@
 } from "../run_journal/mod.ts";
 import { MemoryStore } from "../standin/mod.ts";
 import { waitFor } from "../clock/mod.ts";
-import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
+import { type BenchResult, computeQuantile, toCell } from "./bench_case.ts";
 
 const DURATION_MS = 20_000;
 const STORE_LATENCY_MS = 3;
@@ -173,8 +173,8 @@
     writesPerSecond: store.counts.writes / seconds,
     readsPerSecond: store.counts.reads / seconds,
     kilobytesPerSecond: store.counts.bytesWritten / seconds / 1_000,
-    p50: readQuantile(addedMs, 0.5),
-    p99: readQuantile(addedMs, 0.99),
+    p50: computeQuantile(addedMs, 0.5),
+    p99: computeQuantile(addedMs, 0.99),
     twice: [...granted.values()].filter((count) => count > 1).length,
   };
 }
--- a/bench/limit_cases.ts
+++ b/bench/limit_cases.ts
@@ -6,9 +6,9 @@
   type LimitFault,
   type LimitFleet,
   type LimitFleetParts,
-  readRegion,
   REGIONS,
   TICK_MS,
+  toRegionIndex,
 } from "./limit_fleet.ts";
 
 /** Load on one team, and the faults that happen meanwhile. */
@@ -110,7 +110,7 @@
       kind: "cut",
       fromMs: 8_000,
       untilMs: 14_000,
-      isAffected: (instance) => readRegion(instance) === 0,
+      isAffected: (instance) => toRegionIndex(instance) === 0,
     }],
   },
   {
@@ -160,7 +160,7 @@
  * @param instances Number of instances of the fleet.
  * @param create Creates the fleet.
  */
-export function playLimitCase(
+export function runLimitCase(
   load: LimitCase,
   instances: number,
   create: (parts: LimitFleetParts) => LimitFleet,
@@ -175,7 +175,7 @@
       fault.kind === kind && nowMs >= fault.fromMs &&
       nowMs < fault.untilMs && (fault.isAffected?.(instance) ?? true)
     );
-  const isFrozen = (instance: number, nowMs: number) =>
+  const isStalled = (instance: number, nowMs: number) =>
     isFaultActive("freeze", instance, nowMs) ||
     isFaultActive("restart", instance, nowMs);
   const isRegionCut = load.name.includes("region");
@@ -183,9 +183,9 @@
     instances,
     limit,
     bounds: LIMIT_BOUNDS,
-    isFrozen,
-    isHeard: (from, to, nowMs) => {
-      const isSame = isRegionCut && readRegion(from) === readRegion(to);
+    isStalled,
+    isReachable: (from, to, nowMs) => {
+      const isSame = isRegionCut && toRegionIndex(from) === toRegionIndex(to);
       const isCut = isFaultActive("cut", from, nowMs) ||
         isFaultActive("cut", to, nowMs);
       return from === to || isSame || !isCut;
@@ -209,7 +209,7 @@
       }
       tickMs += TICK_MS;
     }
-    const isAdmitted = !isFrozen(arrival.instance, arrival.atMs) &&
+    const isAdmitted = !isStalled(arrival.instance, arrival.atMs) &&
       fleet.admit(arrival);
     isDone.push(isAdmitted);
     if (isAdmitted) done.push(arrival);
@@ -241,7 +241,7 @@
   while (atMs < DURATION_MS) {
     atMs += -Math.log(1 - random.nextFloat()) * 1_000 / peak;
     const instance = Math.floor(random.nextFloat() * instances);
-    const demand = readDemand(readRegion(instance), atMs) * REGIONS.length;
+    const demand = readDemand(toRegionIndex(instance), atMs) * REGIONS.length;
     if (random.nextFloat() * 6 >= demand) continue;
     const mean = random.nextFloat() < LONG_FRACTION
       ? LONG_MEAN_TOKENS
--- a/bench/limit_fleet.ts
+++ b/bench/limit_fleet.ts
@@ -40,9 +40,9 @@
   readonly limit: TeamLimit;
   readonly bounds: LimitBounds;
   /** Whether messages from one instance reach another at this time. */
-  readonly isHeard: (from: number, to: number, nowMs: number) => boolean;
+  readonly isReachable: (from: number, to: number, nowMs: number) => boolean;
   /** Whether an instance is stalled at this time. */
-  readonly isFrozen: (instance: number, nowMs: number) => boolean;
+  readonly isStalled: (instance: number, nowMs: number) => boolean;
 }
 
 /** Regions of a fleet. */
@@ -53,6 +53,6 @@
 export const LIMITED_TEAM = toTeamId("team");
 
 /** Returns the index in `REGIONS` of the region of an instance. */
-export function readRegion(instance: number): number {
+export function toRegionIndex(instance: number): number {
   return instance % REGIONS.length;
 }
--- a/bench/loans_fleet.ts
+++ b/bench/loans_fleet.ts
@@ -35,13 +35,13 @@
   }
 
   tick(nowMs: number): void {
-    const { isFrozen, isHeard } = this.#parts;
+    const { isStalled, isReachable } = this.#parts;
     this.#limits.forEach((limits, at) => {
-      if (isFrozen(at, nowMs)) return;
+      if (isStalled(at, nowMs)) return;
       limits.listShortfalls(nowMs).forEach(({ wanted }) => {
         for (let lender = 0; lender < HOLDER_COUNT; lender++) {
-          const isLenderAvailable = isHeard(at, lender, nowMs) &&
-            isHeard(lender, at, nowMs) && !isFrozen(lender, nowMs);
+          const isLenderAvailable = isReachable(at, lender, nowMs) &&
+            isReachable(lender, at, nowMs) && !isStalled(lender, nowMs);
           if (lender === at) continue;
           this.sent++;
           if (!isLenderAvailable) continue;
--- a/bench/subset_bench.ts
+++ b/bench/subset_bench.ts
@@ -8,7 +8,7 @@
   pickSubset,
 } from "../routing/mod.ts";
 import { EngineCore, NEW_ENGINE } from "../standin/mod.ts";
-import { type BenchResult, readQuantile, toCell } from "./bench_case.ts";
+import { type BenchResult, computeQuantile, toCell } from "./bench_case.ts";
 
 const ENGINE_COUNT = 400;
 const CALLS_PER_SECOND = 1_500;
@@ -210,8 +210,8 @@
   clock.advanceSync(DURATION_MS);
   return {
     maxQueue,
-    p95: readQuantile(firstTokens, 0.95),
-    p99: readQuantile(firstTokens, 0.99),
+    p95: computeQuantile(firstTokens, 0.95),
+    p99: computeQuantile(firstTokens, 0.99),
     decisionMicros: (decisionMs / decisions) * 1_000,
   };
 }
--- a/bench/sums_fleet.ts
+++ b/bench/sums_fleet.ts
@@ -11,8 +11,8 @@
   LIMITED_TEAM,
   type LimitFleet,
   type LimitFleetParts,
-  readRegion,
   REGIONS,
+  toRegionIndex,
 } from "./limit_fleet.ts";
 
 /** Time until a report of the local region is known, in milliseconds. */
@@ -73,14 +73,14 @@
   tick(nowMs: number): void {
     this.#nowMs = nowMs;
     this.#instances.forEach(({ limits }, at) => {
-      if (this.#parts.isFrozen(at, nowMs)) return;
+      if (this.#parts.isStalled(at, nowMs)) return;
       const [usage] = limits.listOwnUsage(nowMs);
       if (usage !== undefined) this.sent++;
       this.#sentReports[at]!.push({ atMs: nowMs, usage });
       if (this.#sentReports[at]!.length > 40) this.#sentReports[at]!.shift();
     });
     this.#instances.forEach((_, at) => {
-      if (!this.#parts.isFrozen(at, nowMs)) this.#updateCounts(at, nowMs);
+      if (!this.#parts.isStalled(at, nowMs)) this.#updateCounts(at, nowMs);
     });
   }
 
@@ -96,7 +96,7 @@
 
   #createLimits(instance: number, startedMs: number): FleetLimits {
     return new FleetLimits({
-      ownRegion: REGIONS[readRegion(instance)]!,
+      ownRegion: REGIONS[toRegionIndex(instance)]!,
       startedMs,
       random: createRandom(instance + 1),
       bounds: this.#parts.bounds,
@@ -118,12 +118,12 @@
       heard: number;
     }[];
     lastReceivedMs.forEach((receivedMs, other) => {
-      const isLocal = readRegion(other) === readRegion(instance);
+      const isLocal = toRegionIndex(other) === toRegionIndex(instance);
       const isReachable = other === instance ||
-        (this.#parts.isHeard(other, instance, nowMs) &&
-          !this.#parts.isFrozen(other, nowMs));
+        (this.#parts.isReachable(other, instance, nowMs) &&
+          !this.#parts.isStalled(other, nowMs));
       if (isReachable) lastReceivedMs[other] = nowMs;
-      const count = counts[readRegion(other)]!;
+      const count = counts[toRegionIndex(other)]!;
       count.known++;
       const silentMs = nowMs - (isReachable ? nowMs : receivedMs);
       if (silentMs >= (isLocal ? LOCAL_TIMEOUT_MS : REMOTE_TIMEOUT_MS)) return;
@@ -138,7 +138,7 @@
     const nowMs = this.#nowMs;
     const { lastReceivedMs, live } = this.#instances[instance]!;
     return REGIONS.map((region, at) => {
-      const isLocal = at === readRegion(instance);
+      const isLocal = at === toRegionIndex(instance);
       const delayMs = isLocal ? LOCAL_REPORT_DELAY_MS : REMOTE_REPORT_DELAY_MS;
       let used = 0;
       let asked = 0;
--- a/bench/team_limits_bench.ts
+++ b/bench/team_limits_bench.ts
@@ -1,5 +1,5 @@
 import { type BenchResult, toCell } from "./bench_case.ts";
-import { LIMIT_CASES, playLimitCase } from "./limit_cases.ts";
+import { LIMIT_CASES, runLimitCase } from "./limit_cases.ts";
 import type { LimitFleet, LimitFleetParts } from "./limit_fleet.ts";
 import { GrantsFleet } from "./grants_fleet.ts";
 import { LoansFleet } from "./loans_fleet.ts";
@@ -22,7 +22,7 @@
   const rows = LIMIT_CASES.flatMap((load, index) =>
     SIZES.flatMap((instances) =>
       Object.entries(METHODS).map(([method, create]) => {
-        const outcome = playLimitCase(load, instances, create);
+        const outcome = runLimitCase(load, instances, create);
         const { admitted, heaviest, ofBound, ofLimit, sentPerSecond } = outcome;
         const key = `case${index}_${instances}_${method}`;
         figures[`${key}_of_bound`] = ofBound;
--- a/bench/virtual_engine.ts
+++ b/bench/virtual_engine.ts
@@ -11,7 +11,7 @@
 const PROMPT_HEADER = "x-prompt";
 
 /** Reads calls whose prompts are in a header. */
-export const PROMPT_GRAMMAR: CallHeaderCodec = {
+export const PROMPT_HEADER_CODEC: CallHeaderCodec = {
   ...GATEWAY_HEADER_CODEC,
   readCall: (headers) => ({
     ...GATEWAY_HEADER_CODEC.readCall(headers),
--- a/tests/team_limits_fleet_test.ts
+++ b/tests/team_limits_fleet_test.ts
@@ -1,7 +1,7 @@
 // Checks that instances keep a team's limit together through their reports, within the users' bounds for the sum of any 8 s.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { LIMIT_CASES, playLimitCase } from "../bench/limit_cases.ts";
+import { LIMIT_CASES, runLimitCase } from "../bench/limit_cases.ts";
 import { SumsFleet } from "../bench/sums_fleet.ts";
 
 const FLEET_SIZES = [1, 3, 9, 24, 74];
@@ -17,7 +17,7 @@
 const MIN_USED_SHARE = 0.9;
 
 function play(load: (typeof LIMIT_CASES)[number], instances: number) {
-  return playLimitCase(load, instances, (parts) => new SumsFleet(parts));
+  return runLimitCase(load, instances, (parts) => new SumsFleet(parts));
 }
 
 describe("a team's limit over all instances", () => {
