--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -17,7 +17,7 @@
   /** Total weight of the calls that were admitted within the window. */
   readonly used: number;
   /** Total weight of all recent calls, admitted or not; each decays exponentially with its age. */
-  readonly asked: number;
+  readonly demand: number;
 }
 
 /** Usage of a team, as an instance reports it to others. */
@@ -175,7 +175,7 @@
     const mayUse = part * budget;
     const used = this.#readUsage(bucket, nowMs) +
       sumOf(others, (use) => use.used);
-    const asked = bucket.demand + sumOf(others, (use) => use.asked);
+    const asked = bucket.demand + sumOf(others, (use) => use.demand);
     bucket.demand += weight;
     // An instance that lacks reports of others may use only a small part of the budget,
     // and one call may weigh many times as much. Such a call is admitted with a
@@ -223,8 +223,8 @@
       const minReported = MIN_REPORTED_FRACTION *
         this.#computeBudget(bucket.limit) / this.#knownCount;
       if (used < minReported && bucket.demand < minReported) return [];
-      const asked = Math.round(bucket.demand);
-      return [{ team, used: Math.round(used), asked }];
+      const demand = Math.round(bucket.demand);
+      return [{ team, used: Math.round(used), demand }];
     });
   }
 
@@ -359,7 +359,7 @@
     const weigh = ({ known, region }: RegionInstanceCount) => {
       const asked = sumOf(
         others.filter((use) => use.region === region),
-        (use) => use.asked,
+        (use) => use.demand,
       );
       const own = region === ownRegion ? bucket.demand : 0;
       return asked + own +
--- a/admission/fleet_limits_test.ts
+++ b/admission/fleet_limits_test.ts
@@ -49,7 +49,7 @@
 describe("FleetLimits", () => {
   it("admits what other instances have left of a window, and no more", () => {
     const used = 600;
-    const others = [{ region: SOUTH, used, asked: 0 }];
+    const others = [{ region: SOUTH, used, demand: 0 }];
     const limits = createLimits({ others });
     const admitted = admitMany(limits, 10);
     assert.ok(admitted > 0 && admitted <= BUDGET - used, `${admitted}`);
@@ -119,7 +119,7 @@
 
   it("admits the fraction of its own region when no reports of other regions arrive", () => {
     const limits = createLimits({
-      others: [{ region: SOUTH, used: 10, asked: 300 }],
+      others: [{ region: SOUTH, used: 10, demand: 300 }],
     });
     const count = (heard: number) =>
       limits.setInstanceCounts(
--- a/bench/crowd_bench.ts
+++ b/bench/crowd_bench.ts
@@ -72,7 +72,7 @@
     routeClass: "stream",
     timeoutMs,
     targetMs,
-    longestGapMs: 400,
+    maxTokenGapMs: 400,
     priority,
     services: [{ service: "app", weight: 1 }],
     maxAttempts: 2,
--- a/bench/journal_bench.ts
+++ b/bench/journal_bench.ts
@@ -191,9 +191,9 @@
 ): RunJournal {
   const { clock, store, ids, journals } = dependencies;
   const random = createRandom(ids.indexOf(self) + 100);
-  const isGone = () => false;
+  const isDead = () => false;
   if (variant.shards === 0) {
-    return new KeyJournal({ store, clock, random, isGone });
+    return new KeyJournal({ store, clock, random, isDead });
   }
   const readLatencyMs = (to: InstanceId) => {
     const isLocal =
@@ -209,7 +209,7 @@
       ids.filter((_, index) =>
         region === undefined || `r${index % variant.regions}` === region
       ),
-    isGone,
+    isDead,
     beginAt: async (to, run) => {
       await waitFor(clock, readLatencyMs(to));
       const result = await (journals.get(to) as ShardedJournal).beginLocally(
--- a/bench/sums_fleet.ts
+++ b/bench/sums_fleet.ts
@@ -141,7 +141,7 @@
       const isLocal = at === toRegionIndex(instance);
       const delayMs = isLocal ? LOCAL_REPORT_DELAY_MS : REMOTE_REPORT_DELAY_MS;
       let used = 0;
-      let asked = 0;
+      let demand = 0;
       for (
         let other = at;
         other < lastReceivedMs.length;
@@ -157,9 +157,9 @@
           ),
         );
         used += usage?.used ?? 0;
-        asked += usage?.asked ?? 0;
+        demand += usage?.demand ?? 0;
       }
-      return { region, used, asked };
+      return { region, used, demand };
     });
   }
 }
--- a/bin/havenspur_soak.ts
+++ b/bin/havenspur_soak.ts
@@ -73,11 +73,10 @@
 }
 
 function printReport(report: SoakReport): void {
-  const { calls, faults, maxMemoryMb: mostMemoryMb, seed, served, violations } =
-    report;
+  const { calls, faults, maxMemoryMb, seed, served, violations } = report;
   console.log(
     `seed ${seed}: ${faults} faults, ${served} of ${calls} calls served, ` +
-      `${mostMemoryMb} MB at most, ${violations.length} promises broken`,
+      `${maxMemoryMb} MB at most, ${violations.length} promises broken`,
   );
   violations.slice(0, 20).forEach(({ promise, detail }) =>
     console.log(`  BROKEN ${promise}: ${detail}`)
--- a/bin/start_http_gateway.ts
+++ b/bin/start_http_gateway.ts
@@ -96,7 +96,7 @@
     },
     seedAddresses: http.seeds,
     createState: (sinks) => new CatalogState(configuration, sinks, nowMs),
-    repeatBounds: RETRY_BOUNDS,
+    retryBounds: RETRY_BOUNDS,
     warmUpBounds: WARM_UP_BOUNDS,
     sendReport: (...sent) => reportSocket.send(...sent),
     applyLimits: () => {},
@@ -122,13 +122,14 @@
     url: `http://${callerHost}:${port}`,
     peerAddress,
     setSeeds: (seedAddresses) =>
-      gateway.applySettings({ seedAddresses, repeatBounds: RETRY_BOUNDS }),
+      gateway.applySettings({ seedAddresses, retryBounds: RETRY_BOUNDS }),
     shutDown: async (graceMs) => {
       const listeners = [callerListener, peerListener];
       listeners.forEach((listener) => listener.startLeaving());
       await gateway.shutDown({
         graceMs,
-        countOpen: () => callerListener.openCount + peerListener.openCount,
+        countOpenAnswers: () =>
+          callerListener.openCount + peerListener.openCount,
         stopListening: () =>
           listeners.forEach((listener) => listener.closeIdle()),
       });
--- a/controllers/charge_usage.ts
+++ b/controllers/charge_usage.ts
@@ -9,7 +9,7 @@
 export interface ChargeUsageGateway {
   readonly parts: Pick<GatewayParts, "clock" | "metrics" | "random" | "self">;
   readonly incarnation: Incarnation;
-  isGone(holder: Incarnation): boolean;
+  isDead(holder: Incarnation): boolean;
   readonly membership: Membership;
   readonly store: GuardedStore;
   readonly usage: UsageMeter;
@@ -69,5 +69,5 @@
     ...gateway.membership.listedInstances,
   ];
   return knownRecords.every((record) => record.id !== id) ||
-    gateway.isGone(toIncarnation(incarnation));
+    gateway.isDead(toIncarnation(incarnation));
 }
--- a/controllers/send_heartbeats.ts
+++ b/controllers/send_heartbeats.ts
@@ -15,7 +15,7 @@
    * @param isRemote Whether the heartbeat goes to another region, to which reports are
    * sent less often.
    */
-  takeEnds(): (isRemote: boolean) => readonly CrashReport[];
+  takeCrashReports(): (isRemote: boolean) => readonly CrashReport[];
   readPool(service: string): ServicePool;
 }
 
@@ -42,10 +42,13 @@
       services: gateway.membership.isObserver ? readServices(gateway) : [],
     };
     const outgoing = gateway.membership.advanceTick(local, clock.nowMs());
-    const listCrashReports = gateway.takeEnds();
+    const listCrashReports = gateway.takeCrashReports();
     outgoing.forEach(({ to, heartbeat }) => {
-      const ends = listCrashReports(to.region !== heartbeat.region);
-      peers.send(to, ends.length === 0 ? heartbeat : { ...heartbeat, ends });
+      const crashReports = listCrashReports(to.region !== heartbeat.region);
+      peers.send(
+        to,
+        crashReports.length === 0 ? heartbeat : { ...heartbeat, crashReports },
+      );
     });
     metrics.gauge("membership.live", gateway.membership.liveIds.length);
   };
--- a/daemon/catalog_state.ts
+++ b/daemon/catalog_state.ts
@@ -127,7 +127,7 @@
     routeClass: spec.routeClass,
     timeoutMs: spec.timeoutMs,
     targetMs: spec.targetMs,
-    longestGapMs: undefined,
+    maxTokenGapMs: undefined,
     priority: spec.priority,
     isPublic: spec.public,
     services: spec.services,
--- a/daemon/crash_gossip.ts
+++ b/daemon/crash_gossip.ts
@@ -8,7 +8,7 @@
  * Recipients of reports: instances of the own region (`near`), other regions (`region`), or
  * the members that an aggregator sends summaries to (`summary`).
  */
-export type CrashGossipScope = "near" | "region" | "summary";
+export type CrashGossipScope = "local" | "region" | "summary";
 
 /** Maximum number of new crash reports in one message, which keeps it within one packet. */
 const MAX_CRASH_REPORTS = 16;
@@ -18,7 +18,7 @@
  */
 const REPORTS_PER_QUARANTINED_CALL: Readonly<Record<CrashGossipScope, number>> =
   {
-    near: 8,
+    local: 8,
     region: 4,
     summary: 8,
   };
@@ -34,12 +34,12 @@
 export class CrashGossip {
   readonly #quarantine: CallQuarantine;
   readonly #queues: Readonly<Record<CrashGossipScope, CrashReportQueue>> = {
-    near: new CrashReportQueue(),
+    local: new CrashReportQueue(),
     region: new CrashReportQueue(),
     summary: new CrashReportQueue(),
   };
   readonly #reportCounts: Record<CrashGossipScope, number> = {
-    near: 0,
+    local: 0,
     region: 0,
     summary: 0,
   };
@@ -65,11 +65,11 @@
    * @param forwardTo Scopes to which reports that are new here are sent on.
    */
   mergeReports(
-    ends: readonly CrashReport[],
+    crashReports: readonly CrashReport[],
     nowMs: number,
     forwardTo: readonly CrashGossipScope[],
   ): void {
-    const merged = this.#quarantine.mergeReports(ends, nowMs);
+    const merged = this.#quarantine.mergeReports(crashReports, nowMs);
     forwardTo.forEach((scope) => this.#queues[scope].add(merged, nowMs));
   }
 
--- a/daemon/fleet_reporter.ts
+++ b/daemon/fleet_reporter.ts
@@ -173,7 +173,7 @@
       else if (report.scope === "instance") this.addPrefixes(report.prefixes);
       const isFirsthand = isLocal && report.scope === "instance";
       this.#crashGossip.mergeReports(
-        report.ends ?? [],
+        report.crashReports ?? [],
         nowMs,
         isFirsthand ? ["region", "summary"] : [],
       );
@@ -181,10 +181,12 @@
       // for the hundreds of reports a second that bring nothing new of the store.
       if (isAhead(report.known, state.known)) this.#parts.onNewState();
     }
-    if (report.wantsNews) {
+    if (report.wantsGossip) {
       const { known } = state;
-      const ends = this.#crashGossip.listForAnswer(nowMs);
-      sendReport(this.#writer.createAnswer({ known, ends, nowMs }), [from]);
+      const crashReports = this.#crashGossip.listForAnswer(nowMs);
+      sendReport(this.#writer.createAnswer({ known, crashReports, nowMs }), [
+        from,
+      ]);
     }
   }
 
@@ -208,9 +210,9 @@
     const localPeers = fleet.listLocalObservations(nowMs);
     const plan = this.#planReports(localPeers, nowMs);
     const usesAggregators = isLargeRegion(localPeers) && !this.#isAggregating;
-    const ends = this.#crashGossip.takeForReport("near", nowMs);
+    const crashReports = this.#crashGossip.takeForReport("local", nowMs);
     sendReport(
-      this.#writer.createReport({ ends, known, prefixes, nowMs }, {
+      this.#writer.createReport({ crashReports, known, prefixes, nowMs }, {
         // Aggregators receive reports from the members themselves.
         includesMembers: !usesAggregators,
         wantsSummary: usesAggregators && !fleet.hasSummaries(nowMs),
@@ -251,13 +253,13 @@
   ): void {
     const { sendReport, state: { known } } = this.#parts;
     const prefixes = this.#summaryPrefixes.take(MAX_REGION_PREFIXES);
-    const ends = this.#crashGossip.takeForReport("summary", nowMs);
+    const crashReports = this.#crashGossip.takeForReport("summary", nowMs);
     const receivedSequences = new Map(
       localPeers.map(({ member, sequence }) => [member.id, sequence]),
     );
     sendReport(
       this.#writer.createAggregateReport("summary", {
-        ends,
+        crashReports,
         known,
         prefixes,
         nowMs,
@@ -283,10 +285,10 @@
     const receivers = fleet.listRemoteReceivers(representativeCount, nowMs);
     if (receivers.length === 0) return;
     const prefixes = this.#regionPrefixes.take(MAX_REGION_PREFIXES);
-    const ends = this.#crashGossip.takeForReport("region", nowMs);
+    const crashReports = this.#crashGossip.takeForReport("region", nowMs);
     sendReport(
       this.#writer.createAggregateReport("region", {
-        ends,
+        crashReports,
         known,
         prefixes,
         nowMs,
@@ -337,7 +339,7 @@
       prefixes: [],
       nowMs,
     });
-    sendReport({ ...report, wantsNews: true }, contacted);
+    sendReport({ ...report, wantsGossip: true }, contacted);
   }
 }
 
--- a/daemon/gateway.ts
+++ b/daemon/gateway.ts
@@ -218,18 +218,20 @@
   }
 
   /** Returns the crash reports for the heartbeats of one tick, by whether they go to another region. */
-  takeEnds(): (isRemote: boolean) => readonly CrashReport[] {
+  takeCrashReports(): (isRemote: boolean) => readonly CrashReport[] {
     const nowMs = this.parts.clock.nowMs();
     this.#crashGossip.gatherOwn(nowMs);
-    const localReports = this.#crashGossip.takeForReport("near", nowMs);
+    const localReports = this.#crashGossip.takeForReport("local", nowMs);
     return (isRemote) =>
       isRemote ? this.#crashGossip.listForAnswer(nowMs) : localReports;
   }
 
   /** Applies a heartbeat of a peer, and sends the answers. */
   receiveHeartbeat(heartbeat: Heartbeat): void {
-    const { ends = [] } = heartbeat;
-    this.#crashGossip.mergeReports(ends, this.parts.clock.nowMs(), ["near"]);
+    const { crashReports = [] } = heartbeat;
+    this.#crashGossip.mergeReports(crashReports, this.parts.clock.nowMs(), [
+      "local",
+    ]);
     const answers = this.membership.applyHeartbeat(
       heartbeat,
       this.parts.clock.nowMs(),
@@ -277,7 +279,7 @@
   }
 
   /** Runs changes of the configuration one after the other, so that those made here don't race. */
-  runInTurn<T>(run: () => Promise<T>): Promise<T> {
+  runSerially<T>(run: () => Promise<T>): Promise<T> {
     const change = this.#lastChange.then(run);
     this.#lastChange = change.catch(() => {});
     return change;
@@ -443,7 +445,7 @@
   #createJournal(): ShardedJournal {
     const { clock, options, peers, random, self } = this.parts;
     const store = this.store;
-    const isGone = (holder: Incarnation) => this.isGone(holder);
+    const isDead = (holder: Incarnation) => this.isDead(holder);
     const readRecord = (id: typeof self.id) => this.membership.readRecord(id);
     return new ShardedJournal({
       store,
@@ -454,7 +456,7 @@
         [self, ...this.membership.listedInstances]
           .filter((record) => region === undefined || record.region === region)
           .map(({ id }) => id),
-      isGone,
+      isDead,
       beginAt: async (to, run) => {
         const record = readRecord(to);
         const answer = record &&
@@ -477,7 +479,7 @@
   }
 
   /** Returns whether the instance of a holder is known to have restarted since. */
-  isGone(holder: Incarnation): boolean {
+  isDead(holder: Incarnation): boolean {
     const [id, startedText] = holder.split(":");
     const started = Number(startedText);
     if (id === this.parts.self.id) return holder !== this.incarnation;
--- a/daemon/graceful_shutdown.ts
+++ b/daemon/graceful_shutdown.ts
@@ -28,7 +28,7 @@
   /** Stops accepting connections and closes those without a call. */
   readonly stopListening: () => void;
   /** Returns the number of answers that have not been sent completely. */
-  readonly countOpen: () => number;
+  readonly countOpenAnswers: () => number;
   /** Returns the number of calls being served, without those that are refused. */
   readonly countActiveCalls: () => number;
 }
@@ -36,7 +36,7 @@
 /** Options of a shutdown that depend on the sockets of an instance. */
 export type ShutdownOptions = Pick<
   GracefulShutdownParts,
-  "graceMs" | "countOpen" | "stopListening"
+  "graceMs" | "countOpenAnswers" | "stopListening"
 >;
 
 /** Graceful shutdown of an instance, from the signal to the exit of the process. */
@@ -65,16 +65,22 @@
    * the grace period is nearly over.
    */
   async run(): Promise<void> {
-    const { clock, countOpen, fleet, logger, stopListening, sendReports } =
-      this.#parts;
+    const {
+      clock,
+      countOpenAnswers,
+      fleet,
+      logger,
+      stopListening,
+      sendReports,
+    } = this.#parts;
     const { startMs } = this.#times;
     fleet.setState("leaving", startMs);
     sendReports();
-    logger.info("leaving", { inFlight: countOpen() });
+    logger.info("leaving", { inFlight: countOpenAnswers() });
     while (clock.nowMs() < computeCloseMs(this.#times)) {
       await this.#waitAndRead(CHECK_INTERVAL_MS);
       const nowMs = clock.nowMs();
-      const openCount = countOpen();
+      const openCount = countOpenAnswers();
       this.#updateStage(nowMs);
       const stageMs = nowMs - this.#stageSinceMs;
       if (mayExit({ stage: this.#stage, stageMs, openCount })) break;
@@ -82,9 +88,11 @@
     stopListening();
     do {
       await this.#waitAndRead(0);
-    } while (countOpen() > 0 && clock.nowMs() < computeCloseMs(this.#times));
+    } while (
+      countOpenAnswers() > 0 && clock.nowMs() < computeCloseMs(this.#times)
+    );
     logger.info("left", {
-      cutOff: countOpen(),
+      cutOff: countOpenAnswers(),
       afterMs: Math.round(clock.nowMs() - startMs),
     });
   }
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -61,7 +61,7 @@
   /** Called after each change of the registry. */
   readonly onServers: () => void;
   /** Called with each quarantined call that is stored in the store. */
-  readonly onRefusedCall: (ends: CrashReport) => void;
+  readonly onRefusedCall: (report: CrashReport) => void;
   /** Called when the store has been restored from an older copy. */
   readonly onRestored: () => void;
   /** Whether this instance follows the store for its region. */
@@ -87,13 +87,13 @@
   /** Creates the source of routes and servers. */
   readonly createState: (sinks: StateSinks) => StateSource;
   /** Bounds on retries. */
-  readonly repeatBounds: RetryBounds;
+  readonly retryBounds: RetryBounds;
   /** Bounds on calls to cold servers. */
   readonly warmUpBounds: WarmUpBounds;
   /** Usage allowed beyond the limits of teams. Default: none, over a window of 8 s. */
   readonly limitBounds?: LimitBounds;
   /** Stores a quarantined call for instances that start later. Default: it is not stored. */
-  readonly storeQuarantinedCall?: (ends: CrashReport) => void;
+  readonly storeQuarantinedCall?: (report: CrashReport) => void;
   /** Sends a report to addresses. */
   readonly sendReport: SendReport;
   /**
@@ -115,7 +115,7 @@
 /** Settings of an {@linkcode HttpGateway} that can change while it runs. */
 export type LiveSettings = Pick<
   HttpGatewayParts,
-  "seedAddresses" | "repeatBounds"
+  "seedAddresses" | "retryBounds"
 >;
 
 /** Instance that forwards plain HTTP calls, without its sockets. */
@@ -166,7 +166,7 @@
       loads,
       logger,
       metrics: parts.metrics,
-      retryBounds: parts.repeatBounds,
+      retryBounds: parts.retryBounds,
       warmUpBounds: parts.warmUpBounds,
       limitBounds: parts.limitBounds ?? DEFAULT_LIMIT_BOUNDS,
       storeQuarantinedCall: parts.storeQuarantinedCall,
@@ -179,8 +179,8 @@
         if (this.#shutdown === undefined) this.fleet.setState("ready");
       },
       onServers: () => this.#applyServers(),
-      onRefusedCall: (ends) =>
-        void this.forwarder.quarantine.mergeReports([ends], clock.nowMs()),
+      onRefusedCall: (report) =>
+        void this.forwarder.quarantine.mergeReports([report], clock.nowMs()),
       onRestored: () => {
         // All instances know the same quarantined calls, so only the relays, which follow
         // the store, write them.
@@ -264,7 +264,7 @@
   /** Applies settings that can change while the instance runs. */
   applySettings(settings: LiveSettings): void {
     this.#reporter.setSeedAddresses(settings.seedAddresses);
-    this.forwarder.setRetryBounds(settings.repeatBounds);
+    this.forwarder.setRetryBounds(settings.retryBounds);
   }
 
   /** Serves one call. */
--- a/filters/resource_api.ts
+++ b/filters/resource_api.ts
@@ -44,7 +44,7 @@
   readonly pools: ReadonlyMap<string, ServicePool>;
   readPlacements: () => readonly PlacementStatus[];
   readPool(service: string): ServicePool;
-  runInTurn<T>(run: () => Promise<T>): Promise<T>;
+  runSerially<T>(run: () => Promise<T>): Promise<T>;
   readonly store: GuardedStore;
 }
 
@@ -183,7 +183,7 @@
       "This instance is behind: it has not yet heard the newest change";
     return err(createFailure("NOT_READY", message, { retryAfterMs: 500 }));
   }
-  const accepted = await gateway.runInTurn(() =>
+  const accepted = await gateway.runSerially(() =>
     acceptChanges({
       store: gateway.store,
       state: gateway.configuration,
--- a/fleet/encode_report.ts
+++ b/fleet/encode_report.ts
@@ -86,7 +86,7 @@
       ...encodeMemberRow(member),
       Math.round(ageMs),
     ]),
-    (report.wantsNews ? WANTS_GOSSIP : 0) |
+    (report.wantsGossip ? WANTS_GOSSIP : 0) |
     (report.wantsSummary ? WANTS_SUMMARY : 0),
     // Most reports have none of these parameters, so that they are omitted where possible.
     ...encodeOptionalParams(report),
@@ -188,10 +188,12 @@
     loads: loads.map(decodeLoadRow),
     prefixes: prefixes.map(decodePrefixRow),
     gossip: gossip.map(decodeGossipRow),
-    wantsNews: (toNumber(requests) & WANTS_GOSSIP) > 0,
+    wantsGossip: (toNumber(requests) & WANTS_GOSSIP) > 0,
     wantsSummary: (toNumber(requests) & WANTS_SUMMARY) > 0,
-    ...(crashes.length > 0 ? { ends: crashes.map(decodeCrashRow) } : {}),
-    ...(usage.length > 0 ? { uses: usage.map(decodeUsageRow) } : {}),
+    ...(crashes.length > 0
+      ? { crashReports: crashes.map(decodeCrashRow) }
+      : {}),
+    ...(usage.length > 0 ? { teamUsage: usage.map(decodeUsageRow) } : {}),
     ...(limits.length > 0 ? { limits: limits.map(decodeLimitRow) } : {}),
   };
 }
@@ -265,7 +267,8 @@
  * the end are omitted.
  */
 function encodeOptionalParams(
-  { ends: crashes = [], known, limits = [], uses: usage = [] }: FleetReport,
+  { crashReports: crashes = [], known, limits = [], teamUsage: usage = [] }:
+    FleetReport,
 ): readonly unknown[] {
   const lists = [
     crashes.map(encodeCrashRow),
@@ -297,17 +300,17 @@
   };
 }
 
-type UsageRow = readonly [team: string, used: number, asked: number];
+type UsageRow = readonly [team: string, used: number, demand: number];
 
-function encodeUsageRow({ asked, team, used }: ReportedTeamUsage): UsageRow {
-  return [team, Math.round(used), Math.round(asked)];
+function encodeUsageRow({ demand, team, used }: ReportedTeamUsage): UsageRow {
+  return [team, Math.round(used), Math.round(demand)];
 }
 
-function decodeUsageRow([team, used, asked]: UsageRow): ReportedTeamUsage {
+function decodeUsageRow([team, used, demand]: UsageRow): ReportedTeamUsage {
   return {
     team: toTeamId(toText(team)),
     used: Math.max(0, toNumber(used)),
-    asked: Math.max(0, toNumber(asked)),
+    demand: Math.max(0, toNumber(demand)),
   };
 }
 
--- a/fleet/fleet_report.ts
+++ b/fleet/fleet_report.ts
@@ -103,13 +103,13 @@
   readonly prefixes: readonly ReportedPrefix[];
   readonly gossip: readonly MemberGossip[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly CrashReport[];
+  readonly crashReports?: readonly CrashReport[];
   /** Usage of teams at the instances that `scope` names. Default: none. */
-  readonly uses?: readonly ReportedTeamUsage[];
+  readonly teamUsage?: readonly ReportedTeamUsage[];
   /** Limits that servers of the sender's region advertise. Default: none. */
   readonly limits?: readonly ReportedLimit[];
   /** Whether the sender requests the members that the receiver knows. */
-  readonly wantsNews: boolean;
+  readonly wantsGossip: boolean;
   /** Whether the sender belongs to a large region and receives no summaries of it. Default: no. */
   readonly wantsSummary?: boolean;
   /**
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -254,7 +254,7 @@
    *
    * @param region Region of the instances. Default: all regions.
    */
-  listSharing(region?: RegionId): readonly InstanceId[] {
+  listInstancesSharingLimits(region?: RegionId): readonly InstanceId[] {
     return [
       this.#self,
       ...[...this.#members.values()].map(({ member }) => member),
@@ -270,8 +270,8 @@
    *
    * @param region Region of the instances. Default: all regions.
    */
-  countSharing(region?: RegionId): number {
-    const known = Math.max(1, this.listSharing(region).length);
+  countInstancesSharingLimits(region?: RegionId): number {
+    const known = Math.max(1, this.listInstancesSharingLimits(region).length);
     return region === undefined
       ? Math.max(known, this.#registeredCount)
       : known;
@@ -486,15 +486,15 @@
   }
 
   #applyLoads(report: FleetReport): void {
-    const { from, loads, scope, uses = [] } = report;
+    const { from, loads, scope, teamUsage = [] } = report;
     const isLocal = from.region === this.#self.region;
     if (scope === "summary" && isLocal) {
       this.#loads.replaceSummary(loads, report.echo ?? 0);
-      this.teamUsage.replaceSummary(uses, report.echo ?? 0);
+      this.teamUsage.replaceSummary(teamUsage, report.echo ?? 0);
     }
     if (scope === "instance" && isLocal) {
       this.#loads.replaceReport(from.id, { scope, loads });
-      this.teamUsage.replaceInstance(from.id, uses);
+      this.teamUsage.replaceInstance(from.id, teamUsage);
     }
     // Two representatives report on a region: the later report replaces the earlier one.
     if (scope === "region" && !isLocal) {
@@ -502,7 +502,7 @@
         scope,
         loads,
       });
-      this.teamUsage.replaceRegion(from.region, uses);
+      this.teamUsage.replaceRegion(from.region, teamUsage);
     }
   }
 
--- a/fleet/fleet_view_property_test.ts
+++ b/fleet/fleet_view_property_test.ts
@@ -20,7 +20,7 @@
 type Event =
   | { readonly kind: "report"; readonly who: number; readonly sequence: number }
   | {
-    readonly kind: "news";
+    readonly kind: "gossip";
     readonly by: number;
     readonly who: number;
     readonly sequence: number;
@@ -35,7 +35,7 @@
 const EVENT: fc.Arbitrary<Event> = fc.oneof(
   fc.record({ kind: fc.constant("report" as const), who, sequence }),
   fc.record({
-    kind: fc.constant("news" as const),
+    kind: fc.constant("gossip" as const),
     by: who,
     who,
     sequence,
@@ -72,7 +72,7 @@
       case "report":
         this.#applyReport(event.who, event.sequence, []);
         return;
-      case "news": {
+      case "gossip": {
         const { ageMs, by } = event;
         const member = this.createMember(event.who, event.sequence);
         // The sequence number is the newest, so that the report's gossip is applied.
@@ -98,11 +98,11 @@
   #applyReport(
     index: number,
     sequence: number,
-    news: FleetReport["gossip"],
+    gossip: FleetReport["gossip"],
   ): void {
     const from = this.createMember(index, sequence);
     const isNew = this.view.applyReport(
-      createReport(from, sequence, { gossip: news }),
+      createReport(from, sequence, { gossip }),
       this.nowMs,
     );
     if (!isNew) return;
@@ -161,9 +161,9 @@
   it("counts at least all live members among the instances that share a limit", () => {
     checkAfterEach((run) => {
       const live = run.view.listLive(run.nowMs);
-      assert.ok(run.view.countSharing() >= live.length + 1);
+      assert.ok(run.view.countInstancesSharingLimits() >= live.length + 1);
       const near = live.filter(({ region }) => region === NORTH);
-      assert.ok(run.view.countSharing(NORTH) >= near.length + 1);
+      assert.ok(run.view.countInstancesSharingLimits(NORTH) >= near.length + 1);
     });
   });
 
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -59,8 +59,8 @@
     const view = createView();
     view.applyReport(createReport(createMember("a"), 1), 0);
     view.applyReport(createReport(createMember("a", "leaving"), 2), 100);
-    const news = [{ member: createMember("a"), ageMs: 0 }];
-    view.applyReport(createReport(createMember("b"), 1, { gossip: news }), 200);
+    const gossip = [{ member: createMember("a"), ageMs: 0 }];
+    view.applyReport(createReport(createMember("b"), 1, { gossip }), 200);
     assert.deepEqual(listNames(view.listReady(NORTH, 200)), ["b", "self"]);
   });
 
@@ -83,9 +83,9 @@
     assert.deepEqual(listLeaving(200), ["a"]);
     receive("lingering", 3, 2_700);
     assert.deepEqual(listLeaving(2_800), ["a"]);
-    const news = [{ member: createMember("a"), ageMs: 0 }];
+    const gossip = [{ member: createMember("a"), ageMs: 0 }];
     view.applyReport(
-      createReport(createMember("b"), 1, { gossip: news }),
+      createReport(createMember("b"), 1, { gossip }),
       2_900,
     );
     assert.deepEqual(listNames(view.listReady(NORTH, 2_900)), ["b", "self"]);
@@ -102,9 +102,9 @@
       sequence: number,
       atMs: number,
     ) => {
-      const news = [{ member: createMember("a", state), ageMs: 0 }];
+      const gossip = [{ member: createMember("a", state), ageMs: 0 }];
       const report = createReport(createMember("b"), sequence, {
-        gossip: news,
+        gossip,
       });
       view.applyReport(report, atMs);
       return listNames(view.listLeaving(NORTH, atMs));
@@ -132,8 +132,8 @@
   it("learns of members from gossip, and counts its age as silence", () => {
     const view = createView();
     const far = createMember("far", "ready", { region: SOUTH });
-    const news = [{ member: far, ageMs: 1_000 }];
-    view.applyReport(createReport(createMember("a"), 1, { gossip: news }), 0);
+    const gossip = [{ member: far, ageMs: 1_000 }];
+    view.applyReport(createReport(createMember("a"), 1, { gossip }), 0);
     assert.deepEqual(listNames(view.listReady(SOUTH, 0)), ["far"]);
     assert.deepEqual(listNames(view.listReady(SOUTH, 1_600)), []);
   });
@@ -158,17 +158,17 @@
     const far = createMember("far", "ready", { region: SOUTH });
     view.applyReport(createReport(far, 1), 0);
     view.sweep(5_000);
-    assert.equal(view.countSharing(NORTH), 2);
-    assert.equal(view.countSharing(), 3);
+    assert.equal(view.countInstancesSharingLimits(NORTH), 2);
+    assert.equal(view.countInstancesSharingLimits(), 3);
     view.sweep(31_000);
-    assert.equal(view.countSharing(), 1);
+    assert.equal(view.countInstancesSharingLimits(), 1);
   });
 
   it("counts at least the instances registered in the store among all that share a limit", () => {
     const view = createView();
     view.setRegisteredCount(60);
-    assert.equal(view.countSharing(), 60);
-    assert.equal(view.countSharing(NORTH), 1);
+    assert.equal(view.countInstancesSharingLimits(), 60);
+    assert.equal(view.countInstancesSharingLimits(NORTH), 1);
   });
 
   it("lists members that are ahead of this instance, those of the local region first", () => {
@@ -192,7 +192,7 @@
     const report = createReport(createMember("a"), 7, {
       scope: "region",
       gossip: [{ member: createMember("b", "leaving"), ageMs: 12 }],
-      ends: [{
+      crashReports: [{
         call: toCallFingerprint("call"),
         servers: [toBackendId("s1"), toBackendId("s2")],
         ageMs: 30,
@@ -201,14 +201,14 @@
         { server: toBackendId("s1"), perSecond: 2.6, ageMs: 40 },
         { server: toBackendId("s2"), perSecond: undefined, ageMs: 50 },
       ],
-      wantsNews: true,
+      wantsGossip: true,
       wantsSummary: false,
     });
     assert.deepEqual(decodeReport(encodeReport(report)), report);
     const store = { era: 3, revision: 12 };
     const later = { ...report, known: { ...report.known, store } };
     assert.deepEqual(decodeReport(encodeReport(later)), later);
-    const asking = { ...report, wantsNews: false, wantsSummary: true };
+    const asking = { ...report, wantsGossip: false, wantsSummary: true };
     assert.deepEqual(decodeReport(encodeReport(asking)), asking);
   });
 
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -48,7 +48,7 @@
   /** Prompt parts to report. */
   readonly prefixes: readonly ReportedPrefix[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly CrashReport[];
+  readonly crashReports?: readonly CrashReport[];
   /** Current time, in milliseconds. */
   readonly nowMs: number;
 }
@@ -80,13 +80,13 @@
    * @param options Whether it names members and requests summaries.
    */
   createReport(
-    { ends = [], known, nowMs, prefixes }: ReportContent,
+    { crashReports = [], known, nowMs, prefixes }: ReportContent,
     { includesMembers: namesMembers = true, wantsSummary = false }:
       CreateReportOptions = {},
   ): FleetReport {
     const sequence = ++this.#sequence;
-    const uses = this.#parts.listTeamUsage(nowMs);
-    this.#parts.fleet.teamUsage.remember(sequence, uses);
+    const teamUsage = this.#parts.listTeamUsage(nowMs);
+    this.#parts.fleet.teamUsage.remember(sequence, teamUsage);
     const includesGossip = namesMembers &&
       sequence % GOSSIP_INTERVAL_REPORTS === 0;
     return {
@@ -99,10 +99,10 @@
       gossip: includesGossip
         ? this.#pickGossip(nowMs, MAX_GOSSIP_PER_REPORT)
         : [],
-      ends,
-      uses,
+      crashReports,
+      teamUsage,
       limits: this.#parts.listLimits("instance", nowMs),
-      wantsNews: false,
+      wantsGossip: false,
       wantsSummary,
     };
   }
@@ -124,7 +124,7 @@
    */
   createAggregateReport(
     scope: "region" | "summary",
-    { ends = [], known, nowMs, prefixes }: ReportContent,
+    { crashReports = [], known, nowMs, prefixes }: ReportContent,
   ): FleetReport {
     const localMembers = this.#parts.fleet.listLocalObservations(nowMs);
     const count = Math.max(
@@ -133,7 +133,7 @@
     );
     const picked = pickRoundRobin(localMembers, this.#localGossipOffset, count);
     this.#localGossipOffset += count;
-    const { fleet, listLimits, listTeamUsage: listUses } = this.#parts;
+    const { fleet, listLimits, listTeamUsage } = this.#parts;
     return {
       from: this.#parts.fleet.self,
       sequence: ++this.#sequence,
@@ -142,10 +142,10 @@
       loads: this.#parts.loads.sumLocal(),
       prefixes,
       gossip: picked.map(toGossip),
-      ends,
-      uses: fleet.teamUsage.sumLocal(listUses(nowMs)),
+      crashReports,
+      teamUsage: fleet.teamUsage.sumLocal(listTeamUsage(nowMs)),
       limits: listLimits(scope, nowMs),
-      wantsNews: false,
+      wantsGossip: false,
     };
   }
 
--- a/fleet/team_usage_tracker.ts
+++ b/fleet/team_usage_tracker.ts
@@ -91,11 +91,11 @@
    */
   replaceSummary(usage: readonly ReportedTeamUsage[], sequence: number): void {
     const own = this.#reportedOwn.find(sequence) ?? NO_USAGE;
-    this.#summary = new Map(usage.map(({ asked, team, used }) => {
+    this.#summary = new Map(usage.map(({ demand, team, used }) => {
       const ownUsage = own.get(team);
       return [team, {
         used: Math.max(0, used - (ownUsage?.used ?? 0)),
-        asked: Math.max(0, asked - (ownUsage?.asked ?? 0)),
+        demand: Math.max(0, demand - (ownUsage?.demand ?? 0)),
       }];
     }));
   }
@@ -117,15 +117,17 @@
 }
 
 function toUsageByTeam(usage: readonly ReportedTeamUsage[]): UsageByTeam {
-  return new Map(usage.map(({ asked, team, used }) => [team, { asked, used }]));
+  return new Map(
+    usage.map(({ demand, team, used }) => [team, { demand, used }]),
+  );
 }
 
 function sumUsage(usage: readonly TeamUsage[]): TeamUsage {
   return usage.reduce(
-    (sum, { asked, used }) => ({
+    (sum, { demand, used }) => ({
       used: sum.used + used,
-      asked: sum.asked + asked,
+      demand: sum.demand + demand,
     }),
-    { used: 0, asked: 0 },
+    { used: 0, demand: 0 },
   );
 }
--- a/forwarding/call_forwarder.ts
+++ b/forwarding/call_forwarder.ts
@@ -89,7 +89,7 @@
   /** How far usage may exceed the limits of teams. */
   readonly limitBounds: LimitBounds;
   /** Stores a quarantined call where instances that start later find it. Default: it is not stored. */
-  readonly storeQuarantinedCall?: ((ends: CrashReport) => void) | undefined;
+  readonly storeQuarantinedCall?: ((report: CrashReport) => void) | undefined;
 }
 
 /** Accepts calls, sends each to a backend server or a remote instance, and passes on the answers. */
@@ -138,7 +138,8 @@
       loads,
       learned: this.#learned,
       random,
-      countOthers: () => fleet.countSharing(fleet.self.region) - 1,
+      countOthers: () =>
+        fleet.countInstancesSharingLimits(fleet.self.region) - 1,
     });
     this.#destinations = new DestinationChooser({
       fleet,
@@ -339,7 +340,7 @@
 
   /** Serves a call whose route is known. Returns whether the call may have run. */
   async #serveRouted(
-    served: Omit<RoutedCall, "service" | "leastGapMs">,
+    served: Omit<RoutedCall, "service" | "maxTokenGapMs">,
     table: RouteTable,
   ): Promise<boolean> {
     const { call, route, sink } = served;
@@ -359,8 +360,12 @@
       this.#retryBudgets.recordCall(service.name, call.receivedMs);
       this.#routeUsage.record(route, call.receivedMs);
     }
-    const leastGapMs = table.findMaxTokenGapMs(service.name);
-    return await this.#forwardUntilDeadline({ ...served, service, leastGapMs });
+    const maxTokenGapMs = table.findMaxTokenGapMs(service.name);
+    return await this.#forwardUntilDeadline({
+      ...served,
+      service,
+      maxTokenGapMs,
+    });
   }
 
   /** Waits for the first configuration, for a limited time after the call arrived. */
@@ -448,7 +453,7 @@
       const nowMs = this.#parts.clock.nowMs();
       if (this.#refuseQuarantined(exchange, nowMs)) return;
       const destination = this.#destinations.choose(exchange, nowMs);
-      if (destination.kind === "here" || destination.kind === "away") {
+      if (destination.kind === "local" || destination.kind === "remote") {
         if (await this.#sender.send(exchange, destination)) return;
         continue;
       }
@@ -513,7 +518,7 @@
 /** A call whose route and service are known. */
 type RoutedCall = Pick<
   Exchange,
-  "access" | "call" | "sink" | "facts" | "route" | "service" | "leastGapMs"
+  "access" | "call" | "sink" | "facts" | "route" | "service" | "maxTokenGapMs"
 >;
 
 /** Returns the timeout of a call, in milliseconds: the shorter of its caller's and its route's. */
--- a/forwarding/call_sender.ts
+++ b/forwarding/call_sender.ts
@@ -28,7 +28,7 @@
 /** Dependencies of a {@linkcode CallSender}. */
 export interface CallSenderParts {
   readonly clock: Clock;
-  readonly fleet: Pick<FleetView, "countSharing">;
+  readonly fleet: Pick<FleetView, "countInstancesSharingLimits">;
   readonly metrics: Metrics;
   readonly replies: CallReplies;
   readonly destinations: DestinationChooser;
@@ -84,7 +84,7 @@
         this.#startHandover(exchange, destination, events),
     };
     const { onServerFree, instanceSender, serverSender } = this.#parts;
-    if (destination.kind === "away") {
+    if (destination.kind === "remote") {
       return await instanceSender.send(exchange, destination, options);
     }
     const outcome = await serverSender.send(
@@ -110,7 +110,7 @@
     }
     avoidInstance(exchange, from);
     const target = destinations.choose(exchange, nowMs);
-    if (target.kind !== "here" && target.kind !== "away") return undefined;
+    if (target.kind !== "local" && target.kind !== "remote") return undefined;
     if (!this.#takeRetry(exchange)) return undefined;
     beginHandover(exchange);
     metrics.count("call.offers", 1, { service: exchange.service.name });
@@ -145,7 +145,7 @@
         return true;
       case "choose-again":
         return false;
-      case "repeat":
+      case "retry":
         if (this.#takeRetry(exchange)) return false;
         replies.finishUnanswered(exchange, step.refusal);
         return true;
@@ -160,7 +160,7 @@
     const { clock, fleet, metrics, retryBudgets } = this.#parts;
     if (exchange.attemptsLeft <= 0 || exchange.signal.aborted) return false;
     const service = exchange.service.name;
-    const instances = fleet.countSharing();
+    const instances = fleet.countInstancesSharingLimits();
     if (!retryBudgets.take(service, clock.nowMs(), instances)) return false;
     metrics.count("call.repeats", 1, { service });
     return true;
@@ -172,7 +172,7 @@
     outcome: EndedOutcome,
   ): void {
     const { replies } = this.#parts;
-    const at = destination.kind === "away"
+    const at = destination.kind === "remote"
       ? destination.member.id
       : destination.candidate.server.entry.id;
     switch (outcome.kind) {
--- a/forwarding/choose_destination.ts
+++ b/forwarding/choose_destination.ts
@@ -14,9 +14,9 @@
 
 /** Where a call is sent next, or why it is sent nowhere now. */
 export type Destination =
-  | { readonly kind: "here"; readonly candidate: Candidate }
+  | { readonly kind: "local"; readonly candidate: Candidate }
   | {
-    readonly kind: "away";
+    readonly kind: "remote";
     readonly member: MemberRecord;
     readonly region: RegionId;
     readonly candidate: Candidate;
@@ -44,7 +44,7 @@
 /** Why a call has no destination now. */
 export type NoDestination = Exclude<
   Destination,
-  { readonly kind: "here" | "away" }
+  { readonly kind: "local" | "remote" }
 >;
 
 /**
@@ -117,7 +117,7 @@
     const staysLocal = local !== undefined &&
       (remote === undefined ||
         local.costMs <= remote.candidate.costMs + marginMs);
-    return staysLocal ? { kind: "here", candidate: local! } : remote!;
+    return staysLocal ? { kind: "local", candidate: local! } : remote!;
   }
 
   /** Returns the mean round trip to another region, in milliseconds. */
@@ -148,7 +148,7 @@
     needs: CallNeeds,
     regions: readonly RegionId[],
     nowMs: number,
-  ): Extract<Destination, { kind: "away" }> | undefined {
+  ): Extract<Destination, { kind: "remote" }> | undefined {
     const { fleet, random, servers } = this.#parts;
     const options = regions.flatMap((region) => {
       const candidate = servers.choose(needs, region, nowMs, {
@@ -160,7 +160,7 @@
         .filter(({ id }) => !exchange.avoidedInstances.has(id));
       const member = pickRandom(members, random);
       if (member === undefined) return [];
-      return [{ kind: "away", member, region, candidate } as const];
+      return [{ kind: "remote", member, region, candidate } as const];
     });
     return options.sort((a, b) => a.candidate.costMs - b.candidate.costMs)[0];
   }
@@ -214,7 +214,7 @@
 function toNeeds(exchange: Exchange): CallNeeds {
   const {
     facts,
-    leastGapMs: maxTokenGapMs,
+    maxTokenGapMs: maxTokenGapMs,
     promptParts: parts,
     route,
     service,
--- a/forwarding/exchange.ts
+++ b/forwarding/exchange.ts
@@ -19,7 +19,7 @@
   readonly sink: CallSink;
   readonly promptParts: readonly KeyedPart[];
   /** Maximum gap between tokens in streams of the service, in milliseconds: the strictest of its routes. */
-  readonly leastGapMs: number | undefined;
+  readonly maxTokenGapMs: number | undefined;
   /** Deadline of the call, in milliseconds on this instance's clock. */
   readonly deadlineMs: number;
   /** Aborts when the caller disconnects or the deadline passes. */
--- a/forwarding/handover_test.ts
+++ b/forwarding/handover_test.ts
@@ -8,7 +8,7 @@
 import type { SendDestination } from "./settle_attempt.ts";
 
 const DESTINATION = {
-  kind: "away",
+  kind: "remote",
   member: createMember("b"),
   region: toRegionId("north"),
 } as unknown as SendDestination;
--- a/forwarding/instance_sender.ts
+++ b/forwarding/instance_sender.ts
@@ -45,7 +45,7 @@
    */
   async send(
     exchange: Exchange,
-    destination: Extract<Destination, { kind: "away" }>,
+    destination: Extract<Destination, { kind: "remote" }>,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
     const { clock, fleet, headerCodec, metrics, destinations } = this.#parts;
--- a/forwarding/limit_gate.ts
+++ b/forwarding/limit_gate.ts
@@ -25,7 +25,7 @@
   /** The instances that share the limits, as this instance sees them. */
   readonly fleet: Pick<
     FleetView,
-    "isSettled" | "listSharing" | "membershipVersion" | "self"
+    "isSettled" | "listInstancesSharingLimits" | "membershipVersion" | "self"
   >;
   readonly limits: ServerLimits;
 }
@@ -129,7 +129,7 @@
 
   #computeShare(server: BackendId, perSecond: number): Share | undefined {
     const { fleet } = this.#parts;
-    const members = fleet.listSharing(fleet.self.region);
+    const members = fleet.listInstancesSharingLimits(fleet.self.region);
     const limit = Math.max(MIN_CALLS_PER_SECOND, perSecond);
     const count = countDesignatedSenders(limit, members.length);
     const isDesignated = isDesignatedSender(
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -12,7 +12,7 @@
 export interface QuarantineGuardParts {
   readonly logger: Logger;
   /** Stores a quarantined call where instances that start later find it. Default: it isn't stored. */
-  readonly storeQuarantinedCall?: ((ends: CrashReport) => void) | undefined;
+  readonly storeQuarantinedCall?: ((report: CrashReport) => void) | undefined;
 }
 
 /** A call that is being served, and a function that aborts it. */
@@ -73,7 +73,7 @@
   storeAllAgain(nowMs: number): void {
     const { quarantinedCount: heldCount } = this.quarantine;
     this.quarantine.listQuarantinedInRotation(heldCount, nowMs)
-      .forEach((ends) => this.#parts.storeQuarantinedCall?.(ends));
+      .forEach((report) => this.#parts.storeQuarantinedCall?.(report));
   }
 
   #handleQuarantined(quarantined: QuarantinedCall): void {
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -219,7 +219,9 @@
     { server: { entry } }: Candidate,
     { service }: Exchange,
   ): number {
-    const instances = this.#parts.fleet.countSharing(entry.region);
+    const instances = this.#parts.fleet.countInstancesSharingLimits(
+      entry.region,
+    );
     return Math.max(1, Math.floor(service.maxConnections / instances));
   }
 
--- a/forwarding/settle_attempt.ts
+++ b/forwarding/settle_attempt.ts
@@ -9,7 +9,7 @@
 /** A server or a remote instance that a call can be sent to. */
 export type SendDestination = Extract<
   Destination,
-  { readonly kind: "here" | "away" }
+  { readonly kind: "local" | "remote" }
 >;
 
 /** What happens after an attempt. */
@@ -19,7 +19,7 @@
   /** Another destination is chosen, without the use of a retry. */
   | { readonly kind: "choose-again" }
   /** The call is retried if its attempts and the shared retry budget allow it, and refused otherwise. */
-  | { readonly kind: "repeat"; readonly refusal: Refusal }
+  | { readonly kind: "retry"; readonly refusal: Refusal }
   /** The call is refused: it may have run and must not run twice. */
   | { readonly kind: "end"; readonly refusal: Refusal };
 
@@ -51,12 +51,12 @@
       avoidInstance(exchange, destination);
       return { kind: "choose-again" };
     case "rejected":
-      if (destination.kind === "away") {
+      if (destination.kind === "remote") {
         exchange.avoidedRegions.add(destination.region);
         exchange.attemptsLeft -= outcome.sends;
       } else if (!outcome.isMisdirected) exchange.attemptsLeft--;
       return {
-        kind: "repeat",
+        kind: "retry",
         refusal: {
           reason: "rejected",
           message: "A server refused the call without running it",
@@ -68,7 +68,7 @@
       exchange.attemptsLeft--;
       exchange.mayHaveRun = true;
       return {
-        kind: isRetryable(exchange) ? "repeat" : "end",
+        kind: isRetryable(exchange) ? "retry" : "end",
         refusal: { reason: "no-answer", message: "A server failed" },
       };
     case "no-answer":
@@ -78,7 +78,7 @@
       avoidInstance(exchange, destination);
       const canRetry = isRetryable(exchange) && isResumableNow(exchange);
       return {
-        kind: canRetry ? "repeat" : "end",
+        kind: canRetry ? "retry" : "end",
         refusal: {
           reason: "no-answer",
           message: "A server had the call and gave no whole answer",
@@ -110,5 +110,5 @@
   exchange: Exchange,
   target: SendDestination,
 ): void {
-  if (target.kind === "away") exchange.avoidedInstances.add(target.member.id);
+  if (target.kind === "remote") exchange.avoidedInstances.add(target.member.id);
 }
--- a/forwarding/settle_attempt_test.ts
+++ b/forwarding/settle_attempt_test.ts
@@ -6,9 +6,9 @@
 import type { AttemptOutcome } from "./run_attempt.ts";
 import { type SendDestination, settleAttempt } from "./settle_attempt.ts";
 
-const LOCAL = { kind: "here", candidate: {} } as SendDestination;
+const LOCAL = { kind: "local", candidate: {} } as SendDestination;
 const REMOTE = {
-  kind: "away",
+  kind: "remote",
   member: { id: toInstanceId("south-1") },
   region: toRegionId("south"),
 } as SendDestination;
@@ -43,7 +43,7 @@
   describe("when a server reports that it did not run the call", () => {
     it("retries a non-idempotent call and uses one attempt", () => {
       const exchange = createExchange({});
-      assert.equal(settleAttempt(exchange, LOCAL, REJECTED).kind, "repeat");
+      assert.equal(settleAttempt(exchange, LOCAL, REJECTED).kind, "retry");
       assert.equal(exchange.attemptsLeft, 1);
       assert.equal(exchange.mayHaveRun, false);
     });
@@ -76,7 +76,7 @@
 
     it("retries an idempotent call before its answer has begun", () => {
       const exchange = createExchange({ routeClass: "idempotent" });
-      assert.equal(settleAttempt(exchange, LOCAL, NO_ANSWER).kind, "repeat");
+      assert.equal(settleAttempt(exchange, LOCAL, NO_ANSWER).kind, "retry");
     });
 
     it("ends an idempotent call once the caller has part of its answer", () => {
@@ -92,7 +92,7 @@
       const torn = createExchange(route, { hasBegun: true });
       const whole = createExchange(route, { hasBegun: true, lastEventId: "4" });
       assert.equal(settleAttempt(torn, LOCAL, BROKEN).kind, "end");
-      assert.equal(settleAttempt(whole, LOCAL, BROKEN).kind, "repeat");
+      assert.equal(settleAttempt(whole, LOCAL, BROKEN).kind, "retry");
     });
 
     it("ends a stream that is not resumable", () => {
--- a/forwarding/warm_up_gate.ts
+++ b/forwarding/warm_up_gate.ts
@@ -29,7 +29,7 @@
   /** The instances that share the bound, as this instance sees them. */
   readonly fleet: Pick<
     FleetView,
-    "isSettled" | "listSharing" | "membershipVersion" | "self"
+    "isSettled" | "listInstancesSharingLimits" | "membershipVersion" | "self"
   >;
   readonly bounds: WarmUpBounds;
 }
@@ -101,7 +101,7 @@
       callsPerSecond,
       bounds,
       self: self.id,
-      members: fleet.listSharing(self.region),
+      members: fleet.listInstancesSharingLimits(self.region),
     });
     const share = { membershipVersion, intervalMs };
     this.#shares.set(server, share);
--- a/http_routes/http_route.ts
+++ b/http_routes/http_route.ts
@@ -33,7 +33,7 @@
    * Objective for the maximum pause between events of a stream, which are tokens if a
    * model engine serves the stream, in milliseconds. Default: no bound.
    */
-  readonly longestGapMs: number | undefined;
+  readonly maxTokenGapMs: number | undefined;
   /** Rank of the calls: 0 is the most urgent. */
   readonly priority: number;
   /** Whether callers need no key in a deployment that has teams. */
--- a/http_routes/route_table.ts
+++ b/http_routes/route_table.ts
@@ -76,11 +76,11 @@
   routes: readonly HttpRoute[],
 ): ReadonlyMap<string, number> {
   const gaps = new Map<string, number>();
-  routes.forEach(({ longestGapMs, services }) => {
-    if (longestGapMs === undefined) return;
+  routes.forEach(({ maxTokenGapMs, services }) => {
+    if (maxTokenGapMs === undefined) return;
     services.forEach(({ service }) => {
-      const known = gaps.get(service) ?? longestGapMs;
-      gaps.set(service, Math.min(known, longestGapMs));
+      const known = gaps.get(service) ?? maxTokenGapMs;
+      gaps.set(service, Math.min(known, maxTokenGapMs));
     });
   });
   return gaps;
--- a/membership/encode_heartbeat.ts
+++ b/membership/encode_heartbeat.ts
@@ -63,7 +63,7 @@
     heartbeat.sequence,
     heartbeat.isLeaving ? 1 : 0,
     heartbeat.configuration,
-    heartbeat.rumours.map(({ id, incarnation, status }) => [
+    heartbeat.gossip.map(({ id, incarnation, status }) => [
       id,
       incarnation,
       STATUSES.indexOf(status),
@@ -84,7 +84,7 @@
       ]),
     ]),
   ];
-  const rows = heartbeat.ends?.map(({ ageMs, call, servers }) => [
+  const rows = heartbeat.crashReports?.map(({ ageMs, call, servers }) => [
     call,
     Math.round(ageMs),
     ...servers,
@@ -134,7 +134,7 @@
     sequence,
     isLeaving: leaving === 1,
     configuration,
-    rumours: gossip.map(([id, number, status]) => ({
+    gossip: gossip.map(([id, number, status]) => ({
       id: id as InstanceId,
       incarnation: number,
       status: STATUSES[status]!,
@@ -154,7 +154,7 @@
       })),
     })),
     ...(parsed.data.ends === undefined ? {} : {
-      ends: parsed.data.ends.map(([call, ageMs, ...servers]) => ({
+      crashReports: parsed.data.ends.map(([call, ageMs, ...servers]) => ({
         call: toCallFingerprint(call),
         ageMs,
         servers: servers.map(toBackendId),
--- a/membership/member.ts
+++ b/membership/member.ts
@@ -79,8 +79,8 @@
   readonly isLeaving: boolean;
   /** Sequence number of the configuration that the sender has in force. */
   readonly configuration: number;
-  readonly rumours: readonly StatusGossip[];
+  readonly gossip: readonly StatusGossip[];
   readonly digests: readonly RegionDigest[];
   /** Reports of server crashes during calls. Default: none. */
-  readonly ends?: readonly CrashReport[];
+  readonly crashReports?: readonly CrashReport[];
 }
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -223,7 +223,7 @@
     );
     if (heartbeat.region !== this.#self.region) return [];
     const answers = this.#applySender(heartbeat, nowMs);
-    const refutations = heartbeat.rumours.flatMap((gossip) =>
+    const refutations = heartbeat.gossip.flatMap((gossip) =>
       this.#applyGossip(gossip, nowMs)
     );
     return [...answers, ...refutations];
@@ -341,7 +341,7 @@
     const heartbeat = this.#createHeartbeat(0, []);
     return {
       to: member.record,
-      heartbeat: { ...heartbeat, rumours: [toGossip(member, "dead")] },
+      heartbeat: { ...heartbeat, gossip: [toGossip(member, "dead")] },
     };
   }
 
@@ -410,14 +410,14 @@
       nowMs - member.suspectSinceMs >= DEAD_AFTER_SUSPECT_MS
     );
     expired.forEach((member) => this.#markDead(member, member.incarnation));
-    const rumours = [
+    const gossip = [
       ...silent.map((member) => toGossip(member, "suspect")),
       ...expired.map((member) => toGossip(member, "dead")),
     ];
-    if (rumours.length === 0) return [];
+    if (gossip.length === 0) return [];
     const heartbeat = {
       ...this.#createHeartbeat(local.configuration, []),
-      rumours,
+      gossip,
     };
     return this.members.filter(({ status }) => status !== "dead")
       .map(({ record }) => ({ to: record, heartbeat }));
@@ -561,7 +561,7 @@
       sequence: ++this.#sequence,
       isLeaving: this.#isLeaving,
       configuration,
-      rumours: [...this.#gossip.values()].slice(-MAX_GOSSIP_PER_MESSAGE)
+      gossip: [...this.#gossip.values()].slice(-MAX_GOSSIP_PER_MESSAGE)
         .map(({ gossip }) => gossip),
       digests,
     };
--- a/quarantine/crash_report_queue.ts
+++ b/quarantine/crash_report_queue.ts
@@ -6,7 +6,7 @@
 const MAX_SENDS = 2;
 
 interface QueuedRow {
-  readonly ends: CrashReport;
+  readonly report: CrashReport;
   readonly addedMs: number;
   sendCount: number;
 }
@@ -23,8 +23,8 @@
   /** Adds rows; drops the oldest ones when the queue is full. */
   add(reports: readonly CrashReport[], nowMs: number): void {
     if (reports.length === 0) return;
-    const added = reports.map((ends) => ({
-      ends,
+    const added = reports.map((report) => ({
+      report,
       addedMs: nowMs,
       sendCount: 0,
     }));
@@ -42,9 +42,9 @@
     const taken = this.#rows.slice(-count);
     taken.forEach((row) => row.sendCount++);
     this.#rows = this.#rows.filter(({ sendCount }) => sendCount < MAX_SENDS);
-    return taken.map(({ addedMs, ends }) => ({
-      ...ends,
-      ageMs: ends.ageMs + Math.max(0, nowMs - addedMs),
+    return taken.map(({ addedMs, report }) => ({
+      ...report,
+      ageMs: report.ageMs + Math.max(0, nowMs - addedMs),
     }));
   }
 }
--- a/run_journal/key_journal.ts
+++ b/run_journal/key_journal.ts
@@ -27,7 +27,7 @@
   readonly clock: Clock;
   readonly random: Random;
   /** Returns whether a holder is known to be dead. */
-  readonly isGone: (holder: Incarnation) => boolean;
+  readonly isDead: (holder: Incarnation) => boolean;
 }
 
 const KEY_PREFIX = "/havenspur/journal/key/";
@@ -45,7 +45,7 @@
   }
 
   async begin(run: Run): Promise<Result<BeginOutcome, Failure>> {
-    const { store, clock, isGone } = this.#parts;
+    const { store, clock, isDead } = this.#parts;
     const changeId = this.#createChangeId();
     let decision: BeginOutcome | undefined;
     const written = await writeChange<RunDocument>(store, {
@@ -54,7 +54,7 @@
       // Most runs are new, so this creates the key without reading it first.
       known: { document: undefined, revision: 0 },
       update: (existing) => {
-        const decided = decideBegin(existing, run, clock.nowMs(), { isGone });
+        const decided = decideBegin(existing, run, clock.nowMs(), { isDead });
         decision = decided.kind === "claim" ? undefined : decided;
         if (decided.kind !== "claim") return undefined;
         return { ...run, begunMs: clock.nowMs(), end: undefined };
--- a/run_journal/run_record.ts
+++ b/run_journal/run_record.ts
@@ -63,7 +63,7 @@
 /** Options of {@linkcode decideBegin}. */
 export interface DecideBeginOptions {
   /** Returns whether a holder is known to be dead. Default: always `false`. */
-  readonly isGone?: (holder: Incarnation) => boolean;
+  readonly isDead?: (holder: Incarnation) => boolean;
 }
 
 /**
@@ -87,7 +87,7 @@
   }
   if (existing.bodyHash !== run.bodyHash) return { kind: "mismatch" };
   if (existing.end === undefined) {
-    const isHolderDead = options.isGone?.(existing.holder) ?? false;
+    const isHolderDead = options.isDead?.(existing.holder) ?? false;
     const isAbandoned = isHolderDead ||
       nowMs > existing.dueMs + RUN_DEADLINE_GRACE_MS;
     return isAbandoned ? { kind: "unknown" } : { kind: "in-progress" };
--- a/run_journal/shard_writer.ts
+++ b/run_journal/shard_writer.ts
@@ -45,7 +45,7 @@
   /** Prefix of the shard's keys, ending in a slash. */
   readonly prefix: string;
   /** Returns whether a holder is known to be dead. */
-  readonly isGone: (holder: Incarnation) => boolean;
+  readonly isDead: (holder: Incarnation) => boolean;
 }
 
 /** Options of a {@linkcode ShardWriter}. */
@@ -213,7 +213,7 @@
   #planBatch(
     batch: readonly Operation[],
   ): { readonly changed: readonly RunRecord[]; readonly settle: () => void } {
-    const { clock, isGone } = this.#parts;
+    const { clock, isDead } = this.#parts;
     const nowMs = clock.nowMs();
     const changed = new Map<RunKey, RunRecord>();
     const readRecord = (key: RunKey) =>
@@ -223,7 +223,7 @@
         case "begin": {
           const { run, settle } = operation;
           const decision = decideBegin(readRecord(run.key), run, nowMs, {
-            isGone,
+            isDead,
           });
           if (decision.kind !== "claim") return () => settle(ok(decision));
           changed.set(run.key, { ...run, begunMs: nowMs, end: undefined });
--- a/run_journal/shard_writer_test.ts
+++ b/run_journal/shard_writer_test.ts
@@ -21,7 +21,7 @@
       clock,
       random: createRandom(seed),
       prefix: "/shard/",
-      isGone: (holder) => holder === deadHolder,
+      isDead: (holder) => holder === deadHolder,
     }, options);
   return {
     clock,
--- a/run_journal/sharded_journal.ts
+++ b/run_journal/sharded_journal.ts
@@ -24,7 +24,7 @@
    */
   readonly listCandidates: (region?: string) => readonly InstanceId[];
   /** Returns whether a holder is known to be dead. */
-  readonly isGone: (holder: Incarnation) => boolean;
+  readonly isDead: (holder: Incarnation) => boolean;
   /** Asks the coordinator of a shard to begin a run. */
   readonly beginAt: (to: InstanceId, run: Run) => Promise<RemoteBeginResult>;
   /** Reports an end to the coordinator of a shard; `false` if it could not be reached. */
@@ -127,10 +127,10 @@
     const shard = this.#toShardName(key);
     const existing = this.#writers.get(shard);
     if (existing !== undefined) return existing;
-    const { store, clock, random, isGone } = this.#parts;
+    const { store, clock, random, isDead } = this.#parts;
     const prefix = `${SHARD_KEY_PREFIX}${shard}/`;
     const writer = new ShardWriter(
-      { store, clock, random, prefix, isGone },
+      { store, clock, random, prefix, isDead },
       this.#options,
     );
     this.#writers.set(shard, writer);
--- a/soak/check_promises.ts
+++ b/soak/check_promises.ts
@@ -290,7 +290,7 @@
 function checkQuarantine(
   { calls, pauses, runs }: Observation,
 ): readonly Violation[] {
-  const crashingRuns = runs.filter(({ crashesServer: isEnding }) => isEnding);
+  const crashingRuns = runs.filter(({ crashesServer }) => crashesServer);
   const crashedServers = [...new Set(crashingRuns.map(({ server }) => server))];
   const thresholdRun = crashingRuns.find(({ server }) =>
     server === crashedServers[CRASHED_SERVERS - 1]
--- a/spec/journal_spec.ts
+++ b/spec/journal_spec.ts
@@ -288,12 +288,12 @@
   index: number,
   faults: JournalFaults,
 ): Partial<Attempt> {
-  const isGone = (holder: Incarnation) =>
+  const isDead = (holder: Incarnation) =>
     state.attempts.some(({ phase }, at) =>
       phase === "dead" && toHolder(at) === holder
     );
   const decision = decideBegin(state.record ?? undefined, toRun(index), 0, {
-    isGone,
+    isDead,
   });
   switch (decision.kind) {
     case "claim":
--- a/tests/cluster_test.ts
+++ b/tests/cluster_test.ts
@@ -50,7 +50,7 @@
     sequence: 1,
     isLeaving: false,
     configuration: 0,
-    rumours: [],
+    gossip: [],
     digests: [],
     ...overrides,
   };
@@ -82,20 +82,20 @@
     );
     assert.equal(readStatus(view), "dead");
     // The answer reports its death, so that it returns with a higher incarnation.
-    assert.equal(answers[0]!.heartbeat.rumours[0]!.status, "dead");
+    assert.equal(answers[0]!.heartbeat.gossip[0]!.status, "dead");
     view.applyHeartbeat(createHeartbeat("peer", { incarnation: 101 }), 4_200);
     assert.equal(readStatus(view), "live");
   });
 
   it("refutes gossip of its own death with a higher incarnation", () => {
     const view = createView();
-    const rumours = [{
+    const gossip = [{
       id: toInstanceId("self"),
       incarnation: 100,
       status: "dead" as const,
     }];
     const answers = view.applyHeartbeat(
-      createHeartbeat("peer", { rumours }),
+      createHeartbeat("peer", { gossip }),
       10,
     );
     assert.equal(view.incarnation, 101);
@@ -112,7 +112,7 @@
 describe("an encoded heartbeat", () => {
   it("decodes to the same heartbeat, and to none with a wrong key or changed bytes", () => {
     const heartbeat = createHeartbeat("peer", {
-      rumours: [{ id: toInstanceId("x"), incarnation: 3, status: "suspect" }],
+      gossip: [{ id: toInstanceId("x"), incarnation: 3, status: "suspect" }],
       digests: [{
         region: toRegionId("r2"),
         author: toInstanceId("y"),
@@ -123,7 +123,7 @@
         gateways: [toInstanceId("y")],
         services: [{ service: "s", spare: 5, firstTokenMs: 60 }],
       }],
-      ends: [{
+      crashReports: [{
         call: toCallFingerprint("call"),
         servers: [toBackendId("s1")],
         ageMs: 20,
--- a/tests/fleet_stub_fixture.ts
+++ b/tests/fleet_stub_fixture.ts
@@ -17,7 +17,7 @@
     known,
     isSettledNow: true,
     isSettled: () => fleet.isSettledNow,
-    listSharing: () => fleet.known,
+    listInstancesSharingLimits: () => fleet.known,
   };
   return fleet;
 }
--- a/tests/http_gateway_fixture.ts
+++ b/tests/http_gateway_fixture.ts
@@ -135,7 +135,7 @@
         logger: createSilentLogger(),
         prefix: "",
       }),
-    repeatBounds: { ratio: 0.2, slack: 58, windowMs: 10_000 },
+    retryBounds: { ratio: 0.2, slack: 58, windowMs: 10_000 },
     warmUpBounds: { overshoot: 1.5, slack: 3 },
     sendReport: () => {},
     applyLimits: (limits) =>
--- a/tests/lingering_instance_test.ts
+++ b/tests/lingering_instance_test.ts
@@ -39,7 +39,7 @@
   await clock.advance(1);
   void gateway.shutDown({
     graceMs: GRACE_MS,
-    countOpen: () => gateway.forwarder.inFlight,
+    countOpenAnswers: () => gateway.forwarder.inFlight,
     stopListening: () => {},
   }).then(() => hasStopped = true);
   await clock.advance(AFTER_ACCEPTING_MS);
--- a/tests/report_fixture.ts
+++ b/tests/report_fixture.ts
@@ -24,7 +24,7 @@
     loads: [],
     prefixes: [],
     gossip: [],
-    wantsNews: false,
+    wantsGossip: false,
     ...overrides,
   };
 }
--- a/tests/route_fixture.ts
+++ b/tests/route_fixture.ts
@@ -26,7 +26,7 @@
     routeClass: "idempotent",
     timeoutMs: 2_000,
     targetMs: 1_000,
-    longestGapMs: undefined,
+    maxTokenGapMs: undefined,
     priority: 0,
     isPublic: false,
     services: [{ service: "app", weight: 1 }],
--- a/tests/virtual_fleet.ts
+++ b/tests/virtual_fleet.ts
@@ -124,7 +124,7 @@
       peerClient: this.#createPeerClient(address),
       sendReport: this.#createSendReport(address),
       seedAddresses: names.slice(0, 3),
-      repeatBounds: { ratio: 1, slack: 1_000, windowMs: 10_000 },
+      retryBounds: { ratio: 1, slack: 1_000, windowMs: 10_000 },
     });
     gateway.forwarder.setTable(this.#parts.table);
     this.gateways.set(address, gateway);
--- a/tests/virtual_gateway.ts
+++ b/tests/virtual_gateway.ts
@@ -63,7 +63,7 @@
     },
     seedAddresses: [],
     createState: () => LOADED_STATE,
-    repeatBounds: { ratio: 0.2, slack: 10, windowMs: 10_000 },
+    retryBounds: { ratio: 0.2, slack: 10, windowMs: 10_000 },
     warmUpBounds: { overshoot: 1.5, slack: 3 },
     sendReport: () => {},
     applyLimits: () => {},
