--- a/bin/havenspur_load.ts
+++ b/bin/havenspur_load.ts
@@ -47,7 +47,7 @@
   havenspur-load examples/scenarios/rush.toml --embedded examples/torra-nordeste --report rush.html
   havenspur-load --compare before.json after.json
 
-Exit codes: 0 all checks passed, 1 an answer was not whole or something ran twice, 2 usage`,
+Exit codes: 0 all checks passed, 1 an answer was incomplete or a call ran twice, 2 usage`,
   );
 program.exitOverride((error) => {
   process.exit(error.exitCode === 0 ? EXIT_CODES.OK : EXIT_CODES.USAGE);
--- a/bin/havenspurctl.ts
+++ b/bin/havenspurctl.ts
@@ -477,7 +477,7 @@
   ]);
   const silentRegions = status.silent_regions.map((
     region,
-  ) => [region, "?", "?", "not heard", "-"]);
+  ) => [region, "?", "?", "no report received", "-"]);
   const notLive = status.members.filter((member) => member.status !== "live")
     .map((member) => [String(member.id), String(member.status)]);
   const enginesNotInUse = status.engines.filter((engine) =>
--- a/daemon/decide_shutdown_stage.ts
+++ b/daemon/decide_shutdown_stage.ts
@@ -40,7 +40,7 @@
  * Which calls an instance accepts during its shutdown: all (`taking`), those that complete
  * before all connections are closed (`lingering`), or none (`closing`).
  */
-export type ShutdownStage = "taking" | "lingering" | "closing";
+export type ShutdownStage = "accepting" | "lingering" | "closing";
 
 /**
  * Returns which calls an instance accepts during its shutdown. An instance that waits for
@@ -52,7 +52,7 @@
   { startMs }: ShutdownTimes,
   { earlyCalls, hasReadyPeer, nowMs }: ShutdownFacts,
 ): ShutdownStage {
-  if (nowMs - startMs <= ACCEPT_ALL_CALLS_MS) return "taking";
+  if (nowMs - startMs <= ACCEPT_ALL_CALLS_MS) return "accepting";
   return earlyCalls > 0 && !hasReadyPeer ? "lingering" : "closing";
 }
 
--- a/daemon/decide_shutdown_stage_test.ts
+++ b/daemon/decide_shutdown_stage_test.ts
@@ -22,7 +22,7 @@
             earlyCalls,
             hasReadyPeer,
           }),
-          "taking",
+          "accepting",
         )
       )
     );
--- a/daemon/graceful_shutdown.ts
+++ b/daemon/graceful_shutdown.ts
@@ -43,7 +43,7 @@
 export class GracefulShutdown {
   readonly #parts: GracefulShutdownParts;
   readonly #times: ShutdownTimes;
-  #stage: ShutdownStage = "taking";
+  #stage: ShutdownStage = "accepting";
   #stageSinceMs: number;
   /** Number of calls in flight that were accepted after the first seconds. */
   #lateCalls = 0;
@@ -91,7 +91,7 @@
     } while (
       countOpenAnswers() > 0 && clock.nowMs() < computeCloseMs(this.#times)
     );
-    logger.info("left", {
+    logger.info("shutdown finished", {
       cutOff: countOpenAnswers(),
       afterMs: Math.round(clock.nowMs() - startMs),
     });
@@ -148,7 +148,7 @@
     });
     if (stage === this.#stage) return;
     const before = this.#stage;
-    logger.info("takes other calls", {
+    logger.info("shutdown stage changed", {
       stage,
       before,
       earlyCalls,
--- a/daemon/http_gateway.ts
+++ b/daemon/http_gateway.ts
@@ -275,7 +275,7 @@
     }
     if (sink.signal.aborted) return;
     const shutdown = this.#shutdown;
-    if (shutdown === undefined || shutdown.stage === "taking") {
+    if (shutdown === undefined || shutdown.stage === "accepting") {
       await this.forwarder.handle(call, sink);
       return;
     }
@@ -370,7 +370,7 @@
     if (readCachedParts === undefined || this.#signal === undefined) return;
     const cached = await readCachedParts(address, this.#signal);
     if (cached.isErr()) {
-      logger.warn("engine memory not read", {
+      logger.warn("prefix cache of the engine could not be read", {
         server: id,
         reason: cached.error,
       });
@@ -380,13 +380,16 @@
     const isSame = startedMs === undefined || reportedStartMs === undefined ||
       reportedStartMs === startedMs;
     if (!isSame) {
-      logger.warn("engine memory of another start", {
+      logger.warn("prefix cache of another start of the engine", {
         server: id,
         reportedStartMs,
       });
       return;
     }
-    logger.info("engine memory read", { server: id, parts: parts.length });
+    logger.info("prefix cache of the engine read", {
+      server: id,
+      parts: parts.length,
+    });
     const prefixes = toCachedPrefixes(id, parts);
     this.forwarder.recordPrefixes(prefixes);
     this.#reporter.addPrefixes(prefixes);
--- a/daemon/limit_gossip.ts
+++ b/daemon/limit_gossip.ts
@@ -41,10 +41,12 @@
     const source: LimitSource = isFirsthand ? "member" : "summary";
     known.recordReported(limits, source, nowMs).forEach(
       ({ perSecond, server }) => {
-        const fields = { server, toldBy: from.id };
+        const fields = { server, reportedBy: from.id };
         if (perSecond === undefined) {
-          logger.info("server names no limit", fields);
-        } else logger.info("server names a limit", { ...fields, perSecond });
+          logger.info("server no longer advertises a limit", fields);
+        } else {
+          logger.info("server advertised a limit", { ...fields, perSecond });
+        }
       },
     );
   }
--- a/directory/answer_recorder.ts
+++ b/directory/answer_recorder.ts
@@ -50,7 +50,7 @@
     if (before === choice) return;
     if (this.#last.size >= MAX_REMEMBERED) this.#last.clear();
     this.#last.set(key, choice);
-    logger.info("callers led", {
+    logger.info("callers directed", {
       region,
       host,
       choice,
--- a/directory/answer_recorder_test.ts
+++ b/directory/answer_recorder_test.ts
@@ -42,8 +42,8 @@
       .forEach((choice) => record(choice));
     assert.deepEqual(counted, ["near", "near", "home", "home", "near"]);
     assert.deepEqual(logged, [
-      "callers led near home",
-      "callers led home near",
+      "callers directed near home",
+      "callers directed home near",
     ]);
   });
 
--- a/forwarding/call_gate.ts
+++ b/forwarding/call_gate.ts
@@ -140,8 +140,8 @@
   ): void {
     const { clock, logger, metrics } = this.#parts;
     metrics.count("call.not_let_in", 1, { reason: refusal.reason });
-    const passedOver = this.#logBudget.admitLine(clock.nowMs());
-    if (passedOver === undefined) return;
+    const suppressedLines = this.#logBudget.admitLine(clock.nowMs());
+    if (suppressedLines === undefined) return;
     logger.info("refused", {
       call: facts.callId,
       reason: refusal.reason,
@@ -150,7 +150,7 @@
       configuration: configuration.version,
       origin: origin.kind === "instance" ? origin.hop.from : "caller",
       ...inputs,
-      ...(passedOver > 0 ? { passedOver } : {}),
+      ...(suppressedLines > 0 ? { suppressedLines } : {}),
     });
   }
 }
--- a/forwarding/call_sender.ts
+++ b/forwarding/call_sender.ts
@@ -191,10 +191,10 @@
       case "rejected":
         replies.log(exchange, "rejected", {
           at,
-          isOtherServer: outcome.isMisdirected,
+          isMisdirected: outcome.isMisdirected,
           ...(outcome.cooldownMs === undefined
             ? {}
-            : { restMs: Math.round(outcome.cooldownMs) }),
+            : { cooldownMs: Math.round(outcome.cooldownMs) }),
         });
         return;
       case "not-sent":
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -240,7 +240,7 @@
     if (serverOutcome === undefined) return;
     const route = exchange.route.name;
     if (health.record(id, { outcome: serverOutcome, route }, nowMs)) {
-      logger.warn("server left out", {
+      logger.warn("server suspended", {
         server: id,
         service: exchange.service.name,
       });
@@ -269,14 +269,14 @@
       registry.markCold(id, nowMs + coldForMs);
     }
     if (isLeaving && registry.markLeaving(id)) {
-      logger.info("server says that it leaves", { server: id, service });
+      logger.info("server is shutting down", { server: id, service });
     }
     if (
       cooldownMs !== undefined &&
       health.startCooldown(id, nowMs + cooldownMs, nowMs)
     ) {
       const forMs = Math.round(cooldownMs);
-      logger.info("server asks for rest", { server: id, service, forMs });
+      logger.info("server entered cool-down", { server: id, service, forMs });
     }
   }
 
@@ -293,9 +293,16 @@
       return;
     }
     if (perSecond === undefined) {
-      logger.info("server names no limit", { server: id, service });
+      logger.info("server no longer advertises a limit", {
+        server: id,
+        service,
+      });
     } else {
-      logger.info("server names a limit", { server: id, service, perSecond });
+      logger.info("server advertised a limit", {
+        server: id,
+        service,
+        perSecond,
+      });
     }
   }
 
--- a/logs/explain_call.ts
+++ b/logs/explain_call.ts
@@ -46,7 +46,9 @@
   return [
     `call ${callId}`,
     ...callLines.map(formatLine),
-    ...(context.length === 0 ? [] : ["learned there shortly before"]),
+    ...(context.length === 0
+      ? []
+      : ["learned by these instances shortly before"]),
     ...context.map(formatLine),
   ];
 }
--- a/logs/explain_call_test.ts
+++ b/logs/explain_call_test.ts
@@ -10,8 +10,8 @@
 const LINES = [
   toLine(12, { message: "refused", call: "c1", reason: "no-room" }),
   `  3.1 front-a ${toLine(11, { message: "rejected", call: "c1", at: "s1" })}`,
-  toLine(10, { message: "server left out", server: "s2" }),
-  toLine(10, { message: "server left out", server: "s3", instance: "b" }),
+  toLine(10, { message: "server suspended", server: "s2" }),
+  toLine(10, { message: "server suspended", server: "s3", instance: "b" }),
   toLine(1, { message: "store lost" }),
   toLine(11, { message: "refused", call: "c2" }),
   "no line of ours",
@@ -23,7 +23,7 @@
     assert.equal(explained.length, 5);
     assert.match(explained[1]!, /a rejected: at=s1$/);
     assert.match(explained[2]!, /a refused: reason=no-room$/);
-    assert.match(explained[4]!, /a server left out: server=s2$/);
+    assert.match(explained[4]!, /a server suspended: server=s2$/);
   });
 
   it("returns no lines if no log line names the call", () => {
--- a/metrics/metrics.ts
+++ b/metrics/metrics.ts
@@ -27,7 +27,7 @@
   "state.configuration_version": "gauge",
   "state.store_revision": "gauge",
   "state.store_era":
-    "gauge; how often the store came back from an older copy of itself",
+    "gauge; number of times the store was restored from an older copy",
   "state.store_reachable": "gauge; 1 answers, 0 does not",
   "fleet.live": "gauge",
   "fleet.summarized": "gauge; members that get summaries from this instance",
@@ -38,11 +38,12 @@
   "team.calls": "counter; tags: team, result (admitted, refused, given-back)",
   "team.weight": "counter; tags: team, result (admitted, refused, given-back)",
   "call.overloaded": "counter",
-  "loop.delay_ms": "gauge; longest that bytes read now have waited",
-  "servers.limited": "gauge; servers that name a limit of calls a second",
-  "quarantine.held": "gauge; calls refused since servers ended under them",
+  "loop.delay_ms": "gauge; longest time that the bytes read now have waited",
+  "servers.limited":
+    "gauge; servers that advertise a limit of calls per second",
+  "quarantine.held": "gauge; calls refused because they crashed servers",
   "quarantine.suspects":
-    "gauge; calls remembered since a server ended under them",
+    "gauge; calls recorded because a server crashed while it had them",
 } as const;
 
 /** Name of a metric. */
--- a/soak/check_promises.ts
+++ b/soak/check_promises.ts
@@ -19,16 +19,16 @@
 export type PromiseName =
   | "whole answers"
   | "at most once"
-  | "not run is true"
-  | "nothing new at what left"
-  | "configuration never back"
-  | "directory names no dead instance"
-  | "directory leads no call astray"
-  | "a stop cuts nothing"
-  | "who has gone is not served"
-  | "a call that ends servers is kept from them"
-  | "what servers say of themselves is heeded"
-  | "a server gets no more than the limit that it names"
+  | "calls refused as not run did not run"
+  | "no new calls at departed servers"
+  | "configuration never reverts"
+  | "directory lists no dead instance"
+  | "directory keeps bound calls in their home regions"
+  | "a graceful shutdown interrupts no call"
+  | "calls of disconnected callers do not run"
+  | "calls that crash servers are quarantined"
+  | "advertised states of servers are respected"
+  | "advertised limits of servers are respected"
   | "calls run for the team that holds their key"
   | "service after the faults"
   | "no growth";
@@ -172,7 +172,10 @@
   return observation.calls.filter(({ callId, end, kind }) =>
     kind === "non-idempotent" && end.kind === "answered" &&
     NOT_RUN.has(end.status) && counts.has(callId)
-  ).map((call) => ({ promise: "not run is true", detail: formatCall(call) }));
+  ).map((call) => ({
+    promise: "calls refused as not run did not run",
+    detail: formatCall(call),
+  }));
 }
 
 function checkDepartures(
@@ -188,7 +191,7 @@
     return runs.filter((run) =>
       run.server === id && run.atMs > dueMs && run.atMs < untilMs
     ).map((run): Violation => ({
-      promise: "nothing new at what left",
+      promise: "no new calls at departed servers",
       detail: `${id} ran ${run.callId} ${
         run.atMs - atMs
       } ms after its departure`,
@@ -211,7 +214,7 @@
     if (version >= before) return [];
     return [
       {
-        promise: "configuration never back",
+        promise: "configuration never reverts",
         detail: `${call.instance} applied ${version} after ${before}`,
       } as const,
     ];
@@ -236,7 +239,7 @@
       directory.atMs > atMs + DIRECTORY_DELAY_MS &&
       directory.atMs < untilMs && directory.hosts.includes(id)
     ).map((directory): Violation => ({
-      promise: "directory names no dead instance",
+      promise: "directory lists no dead instance",
       detail: `${id} is still listed ${
         directory.atMs - atMs
       } ms after its process ended`,
@@ -251,7 +254,7 @@
 function checkBoundCalls({ directories }: Observation): readonly Violation[] {
   return directories.filter(({ forbiddenHosts }) => forbiddenHosts.length > 0)
     .map(({ forbiddenHosts }): Violation => ({
-      promise: "directory leads no call astray",
+      promise: "directory keeps bound calls in their home regions",
       detail: `answer lists forbidden hosts: ${forbiddenHosts.join(" ")}`,
     }));
 }
@@ -264,7 +267,7 @@
       call.instance === instance && call.end.kind === "broken" &&
       call.sentMs <= atMs && call.endedMs >= atMs
     ).map((call): Violation => ({
-      promise: "a stop cuts nothing",
+      promise: "a graceful shutdown interrupts no call",
       detail: formatCall(call),
     }))
   );
@@ -279,7 +282,7 @@
   return runs.filter(({ atMs, callId }) =>
     atMs > (abandonedMs.get(callId) ?? Infinity) + ABANDONED_DELAY_MS
   ).map(({ atMs, callId, server }) => ({
-    promise: "who has gone is not served",
+    promise: "calls of disconnected callers do not run",
     detail: `${server} ran ${callId} ${
       Math.round(atMs - abandonedMs.get(callId)!)
     } ms after its caller had disconnected`,
@@ -308,7 +311,7 @@
     )
   );
   return late.length <= MAX_LATE_RUNS ? [] : [{
-    promise: "a call that ends servers is kept from them",
+    promise: "calls that crash servers are quarantined",
     detail: `${late.length} runs after ${CRASHED_SERVERS} servers had crashed`,
   }];
 }
@@ -324,7 +327,7 @@
     const late = calls.filter(({ atMs }) => atMs > dueMs && atMs < toMs);
     return late.length <= MAX_LATE_CALLS ? [] : [
       {
-        promise: "what servers say of themselves is heeded",
+        promise: "advertised states of servers are respected",
         detail:
           `${server} received ${late.length} calls after it had advertised its state (${kind})`,
       } as const,
@@ -355,7 +358,7 @@
       LIMIT_SLACK_CALLS + MAX_LATE_CALLS;
     return maxCalls <= allowed ? [] : [
       {
-        promise: "a server gets no more than the limit that it names",
+        promise: "advertised limits of servers are respected",
         detail:
           `${server} received ${maxCalls} calls in 4 s, limit ${perSecond} calls/s`,
       } as const,
--- a/soak/check_promises_test.ts
+++ b/soak/check_promises_test.ts
@@ -173,8 +173,10 @@
     const calls = [createCall(), refused];
     assert.deepEqual(
       check({ calls, runs: [createRun()], recoveredFromMs: 30_000 })
-        .filter((promise) => promise === "not run is true"),
-      ["not run is true"],
+        .filter((promise) =>
+          promise === "calls refused as not run did not run"
+        ),
+      ["calls refused as not run did not run"],
     );
   });
 
@@ -182,7 +184,7 @@
     const serverDepartures = [{ id: "s1", atMs: 12_000, untilMs: Infinity }];
     const runs = [createRun()];
     assert.deepEqual(check({ serverDepartures, runs }), [
-      "nothing new at what left",
+      "no new calls at departed servers",
     ]);
     const disturbedSpans = [{ fromMs: 14_000, toMs: 15_000 }];
     assert.deepEqual(check({ serverDepartures, runs, disturbedSpans }), []);
@@ -192,7 +194,7 @@
     const back = [createVersionCall(3), createVersionCall(2)];
     assert.ok(
       check({ calls: back, lastVersion: 2 })
-        .includes("configuration never back"),
+        .includes("configuration never reverts"),
     );
     const restarted = [createVersionCall(3), createVersionCall(2, 2)];
     assert.deepEqual(check({ calls: restarted, lastVersion: 2 }), []);
@@ -206,7 +208,7 @@
         directories: [{ atMs, hosts: ["h1"], forbiddenHosts: [] }],
       });
     assert.deepEqual(name(5_000), []);
-    assert.deepEqual(name(13_000), ["directory names no dead instance"]);
+    assert.deepEqual(name(13_000), ["directory lists no dead instance"]);
     assert.deepEqual(name(61_000), []);
   });
 
@@ -216,7 +218,9 @@
         directories: [{ atMs: 1, hosts: ["h1", "h2"], forbiddenHosts }],
       });
     assert.deepEqual(checkHosts(), []);
-    assert.deepEqual(checkHosts("h2"), ["directory leads no call astray"]);
+    assert.deepEqual(checkHosts("h2"), [
+      "directory keeps bound calls in their home regions",
+    ]);
   });
 
   it("finds an answer that a graceful shutdown cut off, if no other fault was active", () => {
@@ -230,7 +234,7 @@
         stops: [{ ...stop, isUndisturbed }],
         recoveredFromMs: 30_000,
       })
-        .includes("a stop cuts nothing");
+        .includes("a graceful shutdown interrupts no call");
     assert.equal(checkStop(true), true);
     assert.equal(checkStop(false), false);
   });
@@ -242,7 +246,9 @@
         runs: [createRun()],
       });
     assert.deepEqual(checkDisconnect(19_900), []);
-    assert.deepEqual(checkDisconnect(19_000), ["who has gone is not served"]);
+    assert.deepEqual(checkDisconnect(19_000), [
+      "calls of disconnected callers do not run",
+    ]);
   });
 
   it("finds runs of a call that crashed three servers, once each instance has to quarantine it", () => {
@@ -259,7 +265,7 @@
             atMs: 20_000 + afterMs,
           }),
       );
-    const promise: PromiseName = "a call that ends servers is kept from them";
+    const promise: PromiseName = "calls that crash servers are quarantined";
     assert.deepEqual(check({ runs: [...crashes, ...later(4_900, 9)] }), []);
     assert.deepEqual(check({ runs: [...crashes, ...later(5_100, 3)] }), []);
     assert.deepEqual(check({ runs: [...crashes, ...later(5_100, 4)] }), [
@@ -273,7 +279,7 @@
   });
 
   it("finds late calls to servers that advertise that they are leaving or ask for a cool-down", () => {
-    const promise: PromiseName = "what servers say of themselves is heeded";
+    const promise: PromiseName = "advertised states of servers are respected";
     const times = (from: number, count: number) =>
       Array.from({ length: count }, (_, at) => from + at);
     const advertisement = { server: "s1", fromMs: 20_000, toMs: 24_000 };
@@ -296,7 +302,7 @@
   });
 
   it("finds a server that receives more calls than its advertised limit allows", () => {
-    const promise = "a server gets no more than the limit that it names";
+    const promise = "advertised limits of servers are respected";
     const check2PerSecond = (late: number) =>
       check({
         advertisements: [{
--- a/state/refused_call_entries.ts
+++ b/state/refused_call_entries.ts
@@ -63,7 +63,7 @@
     ) {
       const failure = await this.#write(report, endedMs);
       if (failure === undefined) return;
-      logger.warn("refused call not kept", {
+      logger.warn("refused call not stored", {
         content: report.call,
         reason: failure,
       });
--- a/state/server_entries.ts
+++ b/state/server_entries.ts
@@ -143,7 +143,7 @@
 
   #withhold(entry: StoreEntry, server: RegisteredServer): void {
     const { clock, logger } = this.#parts;
-    logger.info("entry of a server that left", {
+    logger.info("entry of a removed server restored by the store", {
       server: server.id,
       revision: entry.revision,
     });
@@ -179,7 +179,7 @@
         registry.remove(decision.previousId);
         break;
       case "outdated":
-        logger.warn("entry of an earlier start", {
+        logger.warn("entry from an earlier start of the server", {
           server: server.id,
           startedMs: next.startedMs,
           inForceMs: server.startedMs,
@@ -187,7 +187,7 @@
         });
         break;
       case "lost-writes":
-        logger.warn("entry without its last writes", {
+        logger.warn("entry lacks the server's last writes", {
           server: server.id,
           sequence: next.sequence,
           inForce: server.sequence,
--- a/state/state_follower.ts
+++ b/state/state_follower.ts
@@ -219,7 +219,7 @@
   }
 
   #logOlderSnapshot({ era, revision }: StorePosition): void {
-    this.#parts.logger.warn("older state of the store passed over", {
+    this.#parts.logger.warn("older snapshot of the store ignored", {
       era,
       revision,
       inForceEra: this.#inForce.position.era,
--- a/state/state_in_force.ts
+++ b/state/state_in_force.ts
@@ -203,7 +203,7 @@
     const { clock, logger, onRestored } = this.#parts;
     const nowMs = clock.nowMs();
     const { era, revision } = snapshot;
-    logger.warn("store came back from an older copy", {
+    logger.warn("store was restored from an older copy", {
       era,
       revision,
       eraBefore: this.#position.era,
