--- a/clock/event_loop_delay_test.ts
+++ b/clock/event_loop_delay_test.ts
@@ -10,7 +10,7 @@
   return { loop, delay };
 }
 
-describe("LoopDelay", () => {
+describe("EventLoopDelay", () => {
   describe("when the event loop keeps up", () => {
     it("is 0, also between two checks", () => {
       const { loop, delay } = start();
--- a/fleet/load_tracker_test.ts
+++ b/fleet/load_tracker_test.ts
@@ -6,7 +6,7 @@
 const SERVER = toBackendId("s1");
 const ONE = { calls: 1, pendingTokens: 100, memoryTokens: 400 };
 
-describe("LoadBoard", () => {
+describe("LoadTracker", () => {
   describe("when this instance and others have calls at a server", () => {
     it("sums their loads", () => {
       const tracker = new LoadTracker();
--- a/fleet/mod.ts
+++ b/fleet/mod.ts
@@ -4,8 +4,8 @@
  *
  * @example
  * ```ts
- * import { FleetView, LoadBoard } from "./fleet/mod.ts";
- * const view = new FleetView({ self, loads: new LoadBoard() });
+ * import { FleetView, LoadTracker } from "./fleet/mod.ts";
+ * const view = new FleetView({ self, loads: new LoadTracker() });
  * view.applyReport(report, nowMs);
  * view.listReady(region, nowMs);
  * ```
--- a/forwarding/cost_jitter_test.ts
+++ b/forwarding/cost_jitter_test.ts
@@ -13,7 +13,7 @@
   return jitter;
 }
 
-describe("CrowdSpread", () => {
+describe("CostJitter", () => {
   it("adds no jitter where no other instance chooses or nothing was sent", () => {
     assert.equal(recordSends(100).computeMaxMs("lm", 0, 5_000), 0);
     assert.equal(new CostJitter().computeMaxMs("lm", 64, 5_000), 0);
--- a/forwarding/event_loop_gate_test.ts
+++ b/forwarding/event_loop_gate_test.ts
@@ -18,7 +18,7 @@
   return { gate, begun, enter, loop, runIteration };
 }
 
-describe("TurnGate", () => {
+describe("EventLoopGate", () => {
   it("admits the first call of an iteration at once", async () => {
     const { begun, enter } = start();
     enter(1);
--- a/forwarding/fleet_retry_budget_test.ts
+++ b/forwarding/fleet_retry_budget_test.ts
@@ -5,7 +5,7 @@
 
 const BOUNDS = { ratio: 0.2, slack: 58, windowMs: 10_000 };
 
-describe("RepeatBudget", () => {
+describe("FleetRetryBudget", () => {
   describe("when several instances take all retries that they can", () => {
     it("keeps the sum of retries within the bound in any window", () => {
       const steps = fc.array(
--- a/forwarding/prefix_cache_model_test.ts
+++ b/forwarding/prefix_cache_model_test.ts
@@ -9,7 +9,7 @@
 
 const SERVER = toBackendId("s1");
 
-describe("placeParts()", () => {
+describe("toKeyedParts()", () => {
   it("keys a part by all parts before it, and omits small ones", () => {
     const placed = toKeyedParts([
       { id: "a", tokens: 800 },
@@ -23,7 +23,7 @@
   });
 });
 
-describe("PrefixMemory", () => {
+describe("PrefixCacheModel", () => {
   it("counts a part as cached only together with all parts before it", () => {
     const memory = new PrefixCacheModel();
     const parts = toKeyedParts([{ id: "a", tokens: 800 }, {
@@ -50,7 +50,7 @@
   });
 });
 
-describe("toHeldPrefixes()", () => {
+describe("toCachedPrefixes()", () => {
   it("omits small parts and puts the largest last, so that it is evicted last", () => {
     const engine = toBackendId("e1");
     const prefixes = toCachedPrefixes(engine, [
--- a/forwarding/server_liveness_test.ts
+++ b/forwarding/server_liveness_test.ts
@@ -7,7 +7,7 @@
 /** Estimated time of a server to its first byte, in milliseconds. */
 const ESTIMATE_MS = 200;
 
-describe("ServerPulses", () => {
+describe("ServerLiveness", () => {
   describe("when a server streams answers", () => {
     it("considers it silent once no stream has sent a byte for a while", () => {
       const liveness = new ServerLiveness();
--- a/http_routes/route_call_counter_test.ts
+++ b/http_routes/route_call_counter_test.ts
@@ -3,7 +3,7 @@
 import { createRoute } from "../tests/route_fixture.ts";
 import { RouteCallCounter } from "./route_call_counter.ts";
 
-describe("RouteUse", () => {
+describe("RouteCallCounter", () => {
   const bound = createRoute("/a/", ["north"]);
 
   it("counts the calls of the last minute", () => {
--- a/quarantine/crash_report_queue_test.ts
+++ b/quarantine/crash_report_queue_test.ts
@@ -11,7 +11,7 @@
   }));
 }
 
-describe("EndsQueue", () => {
+describe("CrashReportQueue", () => {
   it("sends each row twice, with its current age", () => {
     const queue = new CrashReportQueue();
     queue.add(createRows(2), 100);
--- a/routing/routing_test.ts
+++ b/routing/routing_test.ts
@@ -234,7 +234,7 @@
   });
 });
 
-describe("CreditPurse", () => {
+describe("CreditBalance", () => {
   it("counts and spends a credit only until it expires", () => {
     const purse = new CreditBalance();
     const region = toRegionId("r");
--- a/tests/large_region_test.ts
+++ b/tests/large_region_test.ts
@@ -1,4 +1,4 @@
-// Guards against reports from each instance to every other one of its region seven times a second: without any call in flight they were 121.5 KB/s each at 65 instances a region, half of it between failure domains, and on 195 instances messages cost a fifth of the benchmark score.
+// Guards against reports from each instance to every other one of its region seven times a second: without any call in flight they were 121.5 KB/s each at 65 instances a region, half of it between failure domains, and in a fleet of 195 instances they cost a fifth of what its served calls were worth.
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import fc from "fast-check";
