--- a/bench/idle_bench.ts
+++ b/bench/idle_bench.ts
@@ -27,15 +27,13 @@
     changes: deployment.resources,
   });
   await wait(WARM_UP_MS);
-  const sentBefore = daemons.map(({ heartbeatBytes: peerBytes }) =>
-    peerBytes.sent
-  );
+  const sentBefore = daemons.map(({ heartbeatBytes }) => heartbeatBytes.sent);
   const cpu = process.cpuUsage();
   await wait(RUN_MS);
   const spent = process.cpuUsage(cpu);
   const seconds = RUN_MS / 1_000;
-  const sent = daemons.map(({ heartbeatBytes: peerBytes }, at) =>
-    (peerBytes.sent - sentBefore[at]!) / seconds
+  const sent = daemons.map(({ heartbeatBytes }, at) =>
+    (heartbeatBytes.sent - sentBefore[at]!) / seconds
   );
   const cpuMillis = (spent.user + spent.system) / 1_000 / seconds /
     daemons.length;
--- a/daemon/crash_gossip.ts
+++ b/daemon/crash_gossip.ts
@@ -60,7 +60,7 @@
   /**
    * Merges the crash reports of another instance into the quarantine.
    *
-   * @param ends Received reports.
+   * @param crashReports Received reports.
    * @param nowMs Current time, in milliseconds.
    * @param forwardTo Scopes to which reports that are new here are sent on.
    */
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -475,11 +475,11 @@
   }
 
   /** Records which members a summary names, and since when summaries have arrived without a gap. */
-  #recordSummary({ gossip: news }: FleetReport, nowMs: number): void {
+  #recordSummary({ gossip }: FleetReport, nowMs: number): void {
     const isContinuous = nowMs - this.#summaries.lastMs < MAX_SUMMARY_GAP_MS;
     const sinceMs = isContinuous ? this.#summaries.sinceMs : nowMs;
     this.#summaries = { sinceMs, lastMs: nowMs };
-    news.forEach(({ member: { id } }) => {
+    gossip.forEach(({ member: { id } }) => {
       const entry = this.#members.get(id);
       if (entry !== undefined) entry.isIndirect = true;
     });
--- a/fleet/report_writer.ts
+++ b/fleet/report_writer.ts
@@ -81,13 +81,12 @@
    */
   createReport(
     { crashReports = [], known, nowMs, prefixes }: ReportContent,
-    { includesMembers: namesMembers = true, wantsSummary = false }:
-      CreateReportOptions = {},
+    { includesMembers = true, wantsSummary = false }: CreateReportOptions = {},
   ): FleetReport {
     const sequence = ++this.#sequence;
     const teamUsage = this.#parts.listTeamUsage(nowMs);
     this.#parts.fleet.teamUsage.remember(sequence, teamUsage);
-    const includesGossip = namesMembers &&
+    const includesGossip = includesMembers &&
       sequence % GOSSIP_INTERVAL_REPORTS === 0;
     return {
       from: this.#parts.fleet.self,
--- a/forwarding/choose_server.ts
+++ b/forwarding/choose_server.ts
@@ -240,10 +240,10 @@
   }
 
   #isSilent(service: string, server: BackendId, nowMs: number): boolean {
-    const { loads, learned: { liveness: pulses, speeds } } = this.#parts;
+    const { loads, learned: { liveness, speeds } } = this.#parts;
     const { pendingTokens } = loads.readTotal(server);
     const estimateMs = speeds.estimateMs(server, service, pendingTokens);
-    return pulses.isSilent(server, estimateMs, nowMs);
+    return liveness.isSilent(server, estimateMs, nowMs);
   }
 
   /** Returns the estimates for a call at a server, or `undefined` where it has no capacity. */
--- a/forwarding/choose_server_test.ts
+++ b/forwarding/choose_server_test.ts
@@ -233,9 +233,9 @@
   });
 
   it("excludes a server that is silent while it has calls, until it sends a byte", () => {
-    const { choose, liveness: pulses } = start(["a", "b"]);
+    const { choose, liveness } = start(["a", "b"]);
     const first = toBackendId(choose(LONG)!);
-    const call = pulses.begin(first, 0);
+    const call = liveness.begin(first, 0);
     call.recordBytes(100);
     assert.equal(choose(LONG, 300), first);
     assert.notEqual(choose(LONG, 900), first);
--- a/forwarding/learned_servers.ts
+++ b/forwarding/learned_servers.ts
@@ -99,11 +99,11 @@
       limitGate,
       limits,
       prefixes,
-      liveness: pulses,
+      liveness,
       speeds,
       warmUp,
     } = this;
-    [speeds, health, pulses, limits, limitGate, prefixes, warmUp]
+    [speeds, health, liveness, limits, limitGate, prefixes, warmUp]
       .forEach((each) => each.keepOnly(servers));
   }
 }
--- a/forwarding/quarantine_guard.ts
+++ b/forwarding/quarantine_guard.ts
@@ -71,13 +71,13 @@
 
   /** Stores all quarantined calls again, after the store has lost some. */
   storeAllAgain(nowMs: number): void {
-    const { quarantinedCount: heldCount } = this.quarantine;
-    this.quarantine.listQuarantinedInRotation(heldCount, nowMs)
+    const { quarantinedCount } = this.quarantine;
+    this.quarantine.listQuarantinedInRotation(quarantinedCount, nowMs)
       .forEach((report) => this.#parts.storeQuarantinedCall?.(report));
   }
 
   #handleQuarantined(quarantined: QuarantinedCall): void {
-    const { storeQuarantinedCall: keepRefusedCall, logger } = this.#parts;
+    const { storeQuarantinedCall, logger } = this.#parts;
     const { call, isSeenHere, servers } = quarantined;
     logger.warn("call quarantined", {
       content: call,
@@ -85,7 +85,7 @@
       isSeenHere,
     });
     this.#abortCopies(call);
-    if (isSeenHere) keepRefusedCall?.(quarantined);
+    if (isSeenHere) storeQuarantinedCall?.(quarantined);
   }
 
   /** Aborts all copies of a call: one that waits at a server would crash it when it begins to run. */
--- a/forwarding/server_sender.ts
+++ b/forwarding/server_sender.ts
@@ -81,7 +81,7 @@
     options: SendOptions,
   ): Promise<AttemptOutcome> {
     const { clock, headerCodec, learned, loads, metrics } = this.#parts;
-    const { server: { entry }, prefillTokens: unreadTokens } = candidate;
+    const { server: { entry }, prefillTokens } = candidate;
     const { call, service } = exchange;
     const startMs = clock.nowMs();
     const queuedTokens = loads.readTotal(entry.id).pendingTokens;
@@ -128,7 +128,7 @@
         firstByteMs = clock.nowMs();
         const tookMs = firstByteMs - startMs;
         learned.speeds.record(entry.id, service.name, {
-          tokens: queuedTokens + unreadTokens,
+          tokens: queuedTokens + prefillTokens,
           firstByteMs: tookMs,
         });
         metrics.time("call.first_byte_ms", tookMs, { service: service.name });
@@ -162,17 +162,17 @@
     const { loads } = this.#parts;
     const {
       memoryTokens,
-      prefillTokens: unreadTokens,
+      prefillTokens,
       server: { entry: { id } },
     } = candidate;
-    loads.addOwn(id, { calls: 1, pendingTokens: unreadTokens, memoryTokens });
+    loads.addOwn(id, { calls: 1, pendingTokens: prefillTokens, memoryTokens });
     let isReading = true;
     const endReading = () => {
       if (!isReading) return;
       isReading = false;
       loads.addOwn(id, {
         calls: 0,
-        pendingTokens: -unreadTokens,
+        pendingTokens: -prefillTokens,
         memoryTokens: 0,
       });
     };
@@ -207,11 +207,10 @@
 
   /** Returns how long the prompt of a call delays the calls behind it at its server, in milliseconds. */
   #estimateReadingMs(
-    { server: { entry: { id, service } }, prefillTokens: unreadTokens }:
-      Candidate,
+    { server: { entry: { id, service } }, prefillTokens }: Candidate,
   ): number {
     const { speeds } = this.#parts.learned;
-    return speeds.estimateMs(id, service, unreadTokens) -
+    return speeds.estimateMs(id, service, prefillTokens) -
       speeds.estimateMs(id, service, 0);
   }
 
