--- a/admission/fleet_limits.ts
+++ b/admission/fleet_limits.ts
@@ -36,7 +36,7 @@
   /** Known instances, this one included. */
   readonly known: number;
   /** Instances whose reports arrive. */
-  readonly heard: number;
+  readonly reporting: number;
 }
 
 /** Decision on whether a call is within the limit of its team. */
@@ -135,7 +135,7 @@
   constructor(parts: FleetLimitsParts) {
     this.#parts = parts;
     this.#decayTimeMs = parts.bounds.windowMs * DECAY_TIME_FRACTION;
-    this.#counts = [{ region: parts.ownRegion, known: 1, heard: 1 }];
+    this.#counts = [{ region: parts.ownRegion, known: 1, reporting: 1 }];
   }
 
   /**
@@ -333,18 +333,20 @@
     nowMs: number,
   ): number {
     if (nowMs - this.#countedMs > COUNT_VALID_MS) return 1 / this.#knownCount;
-    const reporting = sumOf(this.#counts, (count) => count.heard);
+    const reporting = sumOf(this.#counts, (count) => count.reporting);
     if (reporting >= this.#knownCount) {
       bucket.regionFractions = this.#computeRegionFractions(bucket, others);
       return 1;
     }
-    const { regionFractions: parts } = bucket;
-    if (parts === undefined) return reporting / this.#knownCount;
+    const { regionFractions } = bucket;
+    if (regionFractions === undefined) return reporting / this.#knownCount;
     return Math.min(
       1,
       sumOf(
         this.#counts,
-        (count) => (parts.get(count.region) ?? 0) * count.heard / count.known,
+        (count) =>
+          (regionFractions.get(count.region) ?? 0) * count.reporting /
+          count.known,
       ),
     );
   }
--- a/admission/fleet_limits_test.ts
+++ b/admission/fleet_limits_test.ts
@@ -30,7 +30,11 @@
     bounds: { windowMs: 8_000, overshoot: 0, slack: 0 },
     readUsageOfOthers: () => others,
   });
-  limits.setInstanceCounts([{ region: NORTH, known: 1, heard: 1 }], 1, NOW_MS);
+  limits.setInstanceCounts(
+    [{ region: NORTH, known: 1, reporting: 1 }],
+    1,
+    NOW_MS,
+  );
   return limits;
 }
 
@@ -60,7 +64,7 @@
     admitMany(limits, 10);
     const laterMs = NOW_MS + 9_000;
     limits.setInstanceCounts(
-      [{ region: NORTH, known: 1, heard: 1 }],
+      [{ region: NORTH, known: 1, reporting: 1 }],
       1,
       laterMs,
     );
@@ -98,7 +102,7 @@
   it("assumes prior usage after a start, since other instances may have started too", () => {
     const limits = createLimits({ startedMs: NOW_MS });
     limits.setInstanceCounts(
-      [{ region: NORTH, known: 10, heard: 10 }],
+      [{ region: NORTH, known: 10, reporting: 10 }],
       10,
       NOW_MS,
     );
@@ -110,7 +114,7 @@
   it("admits only its equal share while the counts of instances are outdated", () => {
     const limits = createLimits();
     limits.setInstanceCounts(
-      [{ region: NORTH, known: 10, heard: 10 }],
+      [{ region: NORTH, known: 10, reporting: 10 }],
       10,
       NOW_MS,
     );
@@ -121,11 +125,11 @@
     const limits = createLimits({
       others: [{ region: SOUTH, used: 10, demand: 300 }],
     });
-    const count = (heard: number) =>
+    const count = (reporting: number) =>
       limits.setInstanceCounts(
         [
-          { region: NORTH, known: 1, heard: 1 },
-          { region: SOUTH, known: 1, heard },
+          { region: NORTH, known: 1, reporting: 1 },
+          { region: SOUTH, known: 1, reporting },
         ],
         2,
         NOW_MS,
--- a/bench/sums_fleet.ts
+++ b/bench/sums_fleet.ts
@@ -111,11 +111,11 @@
     const counts = REGIONS.map((region): RegionInstanceCount => ({
       region,
       known: 0,
-      heard: 0,
+      reporting: 0,
     })) as {
       region: RegionInstanceCount["region"];
       known: number;
-      heard: number;
+      reporting: number;
     }[];
     lastReceivedMs.forEach((receivedMs, other) => {
       const isLocal = toRegionIndex(other) === toRegionIndex(instance);
@@ -127,7 +127,7 @@
       count.known++;
       const silentMs = nowMs - (isReachable ? nowMs : receivedMs);
       if (silentMs >= (isLocal ? LOCAL_TIMEOUT_MS : REMOTE_TIMEOUT_MS)) return;
-      count.heard++;
+      count.reporting++;
       live.add(other);
     });
     state.live = live;
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -290,7 +290,7 @@
       return {
         region,
         known: own + members.length,
-        heard: own + live.length,
+        reporting: own + live.length,
       };
     });
   }
